--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -8,13 +8,13 @@
 use criterion::Criterion;
 use criterion::criterion_group;
 use criterion::criterion_main;
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerNews;
-use umberglade_gateway::belief::PlaceNeed;
-use umberglade_gateway::belief::place_engine;
-use umberglade_gateway::belief::place_plain;
-use umberglade_gateway::belief::server_digest;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::place_engine;
+use umberglade_gateway::cluster::place_plain;
+use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -56,12 +56,12 @@
     }
 }
 
-fn news(servers: usize, peer: usize, round: usize) -> PeerNews {
+fn news(servers: usize, peer: usize, round: usize) -> PeerUpdate {
     let load = LoadShare::of_stream(&SHAPE);
     let at = |index: usize| (peer * 7 + index * 31 + round) % servers;
     let loads =
         (0..BUSY_SERVERS).map(|index| (server_digest(&format!("engine-{}", at(index))), load));
-    PeerNews { loads: loads.collect(), ..PeerNews::default() }
+    PeerUpdate { loads: loads.collect(), ..PeerUpdate::default() }
 }
 
 /// A site of which every gateway has been heard.
@@ -86,14 +86,15 @@
         let mut group = criterion.benchmark_group(format!("{gateways} gateways {servers} servers"));
         let mut fleet = site(gateways, servers, now);
         let gateway = server_digest("gw-0");
-        let need = |service| PlaceNeed { service, gateway, domain: &domain, tried: &[], now };
+        let need =
+            |service| PlacementRequest { service, gateway, domain: &domain, tried: &[], now };
         group.bench_function("place_engine", |bench| {
             bench.iter(|| place_engine(black_box(&fleet), &spec(), &SHAPE, 0, &need("engine")));
         });
         group.bench_function("place_plain", |bench| {
             bench.iter(|| place_plain(black_box(&fleet), &need("plain")));
         });
-        let reports: Vec<PeerNews> = (0..64).map(|round| news(servers, 1, round)).collect();
+        let reports: Vec<PeerUpdate> = (0..64).map(|round| news(servers, 1, round)).collect();
         let mut sequence = 1;
         group.bench_function("take_report", |bench| {
             bench.iter(|| {
--- a/crates/gateway/src/belief/waiting_line.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -8,26 +8,26 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::DeparturePace;
+use super::RateEstimate;
 
 /// A place in the line.
 pub type Ticket = u64;
 
 /// Departures needed before the pace is believed.
-const LEAST_DEPARTURES: u32 = 4;
+const MIN_DEPARTURES: u32 = 4;
 /// A pace not worth telling: less than a request in ten seconds.
-const LEAST_PACE_MILLI: u32 = 100;
+const MIN_PACE_MILLI: u32 = 100;
 /// The least time told to a refused caller.
-const LEAST_RETRY_AFTER: Duration = Duration::from_millis(200);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// The longest: a burst lasts some four seconds, and a caller of a stream that
 /// has waited in vain has some ten left, of which it gives a third.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_millis(3500);
+const MAX_RETRY_AFTER: Duration = Duration::from_millis(3500);
 /// The least part of the pace that is taken to be left beside new callers.
-const LEAST_SPARE: f64 = 0.1;
+const MIN_SPARE: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy)]
-struct Waiter {
-    /// See [`LineAsker::occupancy`].
+struct QueuedRequest {
+    /// See [`QueueRequest::occupancy`].
     occupancy: u64,
     /// When its caller first tried.
     tried_at: Instant,
@@ -37,7 +37,7 @@
 
 /// A line as the other gateways hear of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LineNews {
+pub struct QueueUpdate {
     pub waiting: u32,
     /// Those of them that can still be on time.
     pub on_time: u32,
@@ -45,7 +45,7 @@
     pub first_age_ms: u32,
     /// True when it can no longer be on time.
     pub is_first_late: bool,
-    /// See [`LineAsker::occupancy`].
+    /// See [`QueueRequest::occupancy`].
     pub first_occupancy: u64,
     /// Requests placed in a thousand seconds.
     pub pace_milli: u32,
@@ -55,7 +55,7 @@
 
 /// The lines at all other gateways together.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct OtherLines {
+pub struct PeerQueues {
     pub waiting: u32,
     /// Those of them that can still be on time.
     pub on_time: u32,
@@ -67,7 +67,7 @@
 
 /// Who asks for a place in line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LineAsker {
+pub struct QueueRequest {
     /// What it takes of an engine: tokens of memory times the milliseconds for
     /// which it is expected to hold them.
     pub occupancy: u64,
@@ -77,10 +77,10 @@
     pub tried_for: Duration,
 }
 
-impl LineNews {
+impl QueueUpdate {
     /// True when this line's first goes before `other`'s, wherever they wait.
-    pub fn goes_before(&self, other: &LineNews) -> bool {
-        let key = |line: &LineNews| match line.is_first_late {
+    pub fn goes_before(&self, other: &QueueUpdate) -> bool {
+        let key = |line: &QueueUpdate| match line.is_first_late {
             false => (false, line.first_occupancy, Reverse(0)),
             true => (true, 0, Reverse(line.first_age_ms)),
         };
@@ -90,7 +90,7 @@
 
 /// Why a request was refused instead of waiting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LineRefusal {
+pub struct QueueRejection {
     /// How long the line ahead is predicted to take.
     pub predicted: Duration,
     /// When the caller should come back.
@@ -106,19 +106,19 @@
 /// outlasts the target, first-come-first-served would make every answer
 /// late; this way the late ones stay late and the others don't become so.
 #[derive(Debug, Default)]
-pub struct WaitingLine {
-    waiters: BTreeMap<Ticket, Waiter>,
+pub struct AdmissionQueue {
+    waiters: BTreeMap<Ticket, QueuedRequest>,
     next_ticket: Ticket,
-    pace: DeparturePace,
+    pace: RateEstimate,
     /// New requests, whether they had to wait or not.
-    arrivals: DeparturePace,
+    arrivals: RateEstimate,
     /// True when whoever was first in line last found no room.
     is_blocked: bool,
     /// The first in line as last seen, and since when.
     leader: Option<(Ticket, Instant)>,
 }
 
-impl WaitingLine {
+impl AdmissionQueue {
     /// Takes a place in line, or refuses at once when the lines here and
     /// elsewhere are predicted to outlast `patience`.
     ///
@@ -128,22 +128,22 @@
     /// 1,112 asked, with half of the engines' places free).
     pub fn join(
         &mut self,
-        asker: LineAsker,
+        asker: QueueRequest,
         patience: Duration,
-        others: OtherLines,
+        others: PeerQueues,
         now: Instant,
-    ) -> Result<Ticket, LineRefusal> {
-        let LineAsker { occupancy, on_time_until, tried_for } = asker;
+    ) -> Result<Ticket, QueueRejection> {
+        let QueueRequest { occupancy, on_time_until, tried_for } = asker;
         if tried_for.is_zero() {
             self.arrivals.note(now);
         }
         let predicted = self.newcomer_wait(on_time_until, others, now);
         if predicted > patience {
-            return Err(LineRefusal { predicted, retry_after: self.retry_after(others, now) });
+            return Err(QueueRejection { predicted, retry_after: self.retry_after(others, now) });
         }
         self.next_ticket += 1;
         let tried_at = now.checked_sub(tried_for).unwrap_or(now);
-        self.waiters.insert(self.next_ticket, Waiter { occupancy, tried_at, on_time_until });
+        self.waiters.insert(self.next_ticket, QueuedRequest { occupancy, tried_at, on_time_until });
         Ok(self.next_ticket)
     }
 
@@ -159,11 +159,11 @@
 
     /// What the other gateways are told; `None` when nobody waits, and none
     /// has been placed for long.
-    pub fn news(&self, now: Instant) -> Option<LineNews> {
+    pub fn news(&self, now: Instant) -> Option<QueueUpdate> {
         let pace_milli = (self.pace.per_second(now) * 1000.0) as u32;
         let arrivals_milli = (self.arrivals.per_second(now) * 1000.0) as u32;
         let Some((_, first)) = self.first(now) else {
-            let idle = LineNews {
+            let idle = QueueUpdate {
                 waiting: 0,
                 on_time: 0,
                 first_age_ms: 0,
@@ -172,10 +172,10 @@
                 pace_milli,
                 arrivals_milli,
             };
-            return (pace_milli > LEAST_PACE_MILLI).then_some(idle);
+            return (pace_milli > MIN_PACE_MILLI).then_some(idle);
         };
         let age = now.saturating_duration_since(first.tried_at);
-        Some(LineNews {
+        Some(QueueUpdate {
             waiting: self.waiters.len() as u32,
             on_time: self.on_time(now) as u32,
             first_age_ms: age.as_millis().min(u128::from(u32::MAX)) as u32,
@@ -186,7 +186,7 @@
         })
     }
 
-    fn first(&self, now: Instant) -> Option<(Ticket, Waiter)> {
+    fn first(&self, now: Instant) -> Option<(Ticket, QueuedRequest)> {
         let on_time = self
             .waiters
             .iter()
@@ -217,16 +217,16 @@
     /// Guards against callers who come back into the same burst, are refused a
     /// second time and then stay away: by the pace alone they were told 0.3 to
     /// 2 s in bursts of four.
-    pub fn retry_after(&self, others: OtherLines, now: Instant) -> Duration {
+    pub fn retry_after(&self, others: PeerQueues, now: Instant) -> Duration {
         let pace = self.pace.per_second(now) + others.pace;
         let arrivals = self.arrivals.per_second(now) + others.arrivals;
         let waiting = self.waiters.len() as f64 + f64::from(others.waiting);
-        let spare = (pace - arrivals).max(pace * LEAST_SPARE);
+        let spare = (pace - arrivals).max(pace * MIN_SPARE);
         if waiting == 0.0 || spare <= 0.0 {
-            return LEAST_RETRY_AFTER;
+            return MIN_RETRY_AFTER;
         }
         let wait = Duration::from_secs_f64((waiting / spare).min(60.0));
-        wait.clamp(LEAST_RETRY_AFTER, LONGEST_RETRY_AFTER)
+        wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Requests waiting.
@@ -247,7 +247,7 @@
     /// How long a newcomer would wait. One that can be on time stands behind
     /// those who can be, too; if they are too many it will be late, and stand
     /// behind all.
-    fn newcomer_wait(&self, on_time_until: Instant, others: OtherLines, now: Instant) -> Duration {
+    fn newcomer_wait(&self, on_time_until: Instant, others: PeerQueues, now: Instant) -> Duration {
         let on_time = self.on_time(now) + others.on_time as usize;
         let among_on_time = self.time_for(on_time, others, now);
         if now + among_on_time < on_time_until {
@@ -256,7 +256,7 @@
         self.predicted_wait(others, now)
     }
 
-    fn predicted_wait(&self, others: OtherLines, now: Instant) -> Duration {
+    fn predicted_wait(&self, others: PeerQueues, now: Instant) -> Duration {
         self.time_for(self.waiters.len() + others.waiting as usize, others, now)
     }
 
@@ -265,9 +265,9 @@
     /// Guards against a burst that is refused before the engines are full: the
     /// pace so far is that of the callers, not of the engines. 80 callers at
     /// once had 16 refused after four placements, with room for 25 more free.
-    fn time_for(&self, count: usize, others: OtherLines, now: Instant) -> Duration {
+    fn time_for(&self, count: usize, others: PeerQueues, now: Instant) -> Duration {
         let pace = self.pace.per_second(now) + others.pace;
-        let is_known = self.pace.count() >= LEAST_DEPARTURES || others.pace > 0.0;
+        let is_known = self.pace.count() >= MIN_DEPARTURES || others.pace > 0.0;
         let is_free = !self.is_blocked && others.waiting == 0;
         if count == 0 || is_free || !is_known || pace <= 0.0 {
             return Duration::ZERO;
--- a/crates/gateway/src/belief/backoff_news.rs
+++ b/crates/gateway/src/cluster/backoff_update.rs
@@ -7,7 +7,7 @@
 
 /// A backoff that a server has requested of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct BackoffNews {
+pub struct BackoffUpdate {
     pub server: ServerIncarnation,
     /// Digest of the gateway that must send no requests.
     pub gateway: u64,
--- a/crates/gateway/src/belief/broken_start.rs
+++ b/crates/gateway/src/cluster/broken_start.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::content_record::SAME_CRASH;
+use super::crash_record::SAME_CRASH;
 
 /// Sends that break this soon after another at the same start of a server say
 /// that it is still out of order.
--- a/crates/gateway/src/belief/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -6,9 +6,9 @@
 
 use super::Fleet;
 use super::LoadShare;
-use super::PlaceNeed;
-use super::PlaceRefusal;
-use super::ServerBelief;
+use super::PlacementError;
+use super::PlacementRequest;
+use super::ServerState;
 use super::ServerSum;
 use crate::model::EngineSpec;
 use crate::model::PromptShape;
@@ -40,7 +40,7 @@
 /// it: looked up once, however many costs are weighed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
-    pub belief: &'a ServerBelief,
+    pub server_state: &'a ServerState,
     pub others: ServerSum,
     /// False while the server's rate limit keeps this gateway from sending to it.
     pub may_send: bool,
@@ -52,20 +52,20 @@
 impl Candidate<'_> {
     /// Work there, ours and the other gateways'.
     pub fn load(&self) -> LoadShare {
-        self.belief.own.plus(self.others.load)
+        self.server_state.own.plus(self.others.load)
     }
 
     /// True when we pass the server over, or enough of the other gateways do
     /// that it is hardly their paths.
     pub fn is_aside(&self, now: Instant) -> bool {
-        self.belief.health.is_aside(now) || self.others.aside >= PEERS_TO_BELIEVE
+        self.server_state.health.is_aside(now) || self.others.aside >= PEERS_TO_BELIEVE
     }
 
     /// How full the engine would be with a stream of `shape`, from 0 to 1;
     /// `None` when it has no room for it.
     pub fn room(&self, spec: &EngineSpec, shape: &PromptShape) -> Option<f64> {
         let load = self.load();
-        let slots = if spec.slots > 0 { spec.slots } else { self.belief.entry.slots };
+        let slots = if spec.slots > 0 { spec.slots } else { self.server_state.entry.slots };
         let with_it = load.plus(LoadShare::of_stream(shape));
         let by_slots = f64::from(with_it.running) / f64::from(slots.max(1));
         let by_memory = with_it.peak_tokens() / given_out(spec);
@@ -90,7 +90,7 @@
 /// down must never refuse a request by itself.
 pub(super) fn candidates<'a>(
     fleet: &'a Fleet,
-    need: &PlaceNeed<'_>,
+    need: &PlacementRequest<'_>,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
     let mut open = open_candidates(fleet, need, suits);
@@ -101,18 +101,18 @@
 /// The servers that are open to the request, whatever their record.
 pub(super) fn open_candidates<'a>(
     fleet: &'a Fleet,
-    need: &PlaceNeed<'_>,
+    need: &PlacementRequest<'_>,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
     fleet
         .open_servers(need.service, need.now)
-        .filter(|(belief, _)| suits(belief.entry.stage))
-        .filter(|(belief, _)| !need.tried.contains(&belief.entry.server))
-        .map(|(belief, others)| Candidate {
-            belief,
+        .filter(|(server_state, _)| suits(server_state.entry.stage))
+        .filter(|(server_state, _)| !need.tried.contains(&server_state.entry.server))
+        .map(|(server_state, others)| Candidate {
+            server_state,
             others,
-            may_send: fleet.may_send(belief, need.now),
-            failure_cost: failure_cost(belief, others, need.now),
+            may_send: fleet.may_send(server_state, need.now),
+            failure_cost: failure_cost(server_state, others, need.now),
         })
         .collect()
 }
@@ -124,7 +124,7 @@
     now: Instant,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
-    let suitable = || open.iter().filter(|candidate| suits(candidate.belief.entry.stage));
+    let suitable = || open.iter().filter(|candidate| suits(candidate.server_state.entry.stage));
     let well: Candidates<'a> = suitable().filter(|one| !one.is_aside(now)).copied().collect();
     if well.is_empty() { suitable().copied().collect() } else { well }
 }
@@ -133,21 +133,21 @@
 pub(super) fn cheapest(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
-) -> Result<(ServerKey, f64), PlaceRefusal> {
+) -> Result<(ServerKey, f64), PlacementError> {
     candidates
         .iter()
         .map(|candidate| (candidate, cost(candidate) + fastrand::f64() * 0.01))
         .min_by(|left, right| left.1.total_cmp(&right.1))
-        .map(|(candidate, cost)| (candidate.belief.entry.server.clone(), cost))
-        .ok_or(PlaceRefusal::NoServer)
+        .map(|(candidate, cost)| (candidate.server_state.entry.server.clone(), cost))
+        .ok_or(PlacementError::NoServer)
 }
 
 /// What our own failures there weigh, and those of the other gateways: a
 /// server that one of them passes over is likely down for all, though only
 /// this one's path may be.
-fn failure_cost(belief: &ServerBelief, others: ServerSum, now: Instant) -> f64 {
+fn failure_cost(server_state: &ServerState, others: ServerSum, now: Instant) -> f64 {
     let peers = f64::from(others.aside.min(3));
-    belief.health.failure_share(now) * FAILURE_WEIGHT + peers * PEER_ASIDE_WEIGHT
+    server_state.health.failure_share(now) * FAILURE_WEIGHT + peers * PEER_ASIDE_WEIGHT
 }
 
 /// The tokens of an engine's memory that are given out.
--- a/crates/gateway/src/belief/charge_news.rs
+++ b/crates/gateway/src/cluster/charge_update.rs
@@ -8,7 +8,7 @@
 
 /// What one gateway has charged to one organisation's quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ChargeNews {
+pub struct ChargeUpdate {
     pub total: ChargeTotal,
     /// The part of it that was charged within the window.
     pub recent: u64,
--- a/crates/gateway/src/belief/crash_watch.rs
+++ b/crates/gateway/src/cluster/crash_detector.rs
@@ -5,19 +5,19 @@
 
 use rustc_hash::FxHashMap;
 
-use super::ContentChange;
-use super::ContentVerdict;
-use super::HeldContent;
-use super::OutcomeNews;
+use super::OutcomeUpdate;
+use super::QuarantineChange;
+use super::QuarantineStatus;
+use super::QuarantineVerdict;
 use super::RowChange;
 use super::SendOutcome;
 use super::broken_start::BrokenStart;
-use super::content_record::ContentRecord;
-use super::content_records::ContentRecords;
+use super::crash_record::CrashRecord;
+use super::crash_records::CrashRecords;
 use super::outcome_log::OutcomeLog;
 use super::quarantine::Quarantine;
-use super::recent_whole::RecentWhole;
-use crate::model::CallContent;
+use super::recent_completions::RecentCompletions;
+use crate::model::RequestFingerprint;
 use crate::model::ServerIncarnation;
 
 /// An answer that is known to be earlier than a crash counts as this much
@@ -38,35 +38,35 @@
 /// a request of it is answered whole: one that is on its way, or a probe, of
 /// which there is one at a time.
 #[derive(Debug, Default)]
-pub struct CrashWatch {
+pub struct CrashDetector {
     /// When the gateway began to hear the others; `None` for long ago.
     begun: Option<Instant>,
-    pub(super) records: ContentRecords,
+    pub(super) records: CrashRecords,
     /// Starts of servers at which a send broke and that have answered nothing
     /// since.
     broken: FxHashMap<ServerIncarnation, BrokenStart>,
-    recent: RecentWhole,
+    recent: RecentCompletions,
     pub(super) log: OutcomeLog,
     pub(super) row_changes: Vec<RowChange>,
     /// Held back, and let off since others explain the crashes.
-    let_off: Vec<CallContent>,
+    let_off: Vec<RequestFingerprint>,
 }
 
-impl CrashWatch {
+impl CrashDetector {
     /// The watch of a gateway that has heard nobody yet.
     pub fn new(begun: Instant) -> Self {
-        CrashWatch { begun: Some(begun), ..CrashWatch::default() }
+        CrashDetector { begun: Some(begun), ..CrashDetector::default() }
     }
 
     /// A send of `content` broke at a start of a server, which had given events
     /// for `lived`.
     pub fn note_crash(
         &mut self,
-        content: CallContent,
+        content: RequestFingerprint,
         incarnation: ServerIncarnation,
         lived: Duration,
         now: Instant,
-    ) -> Option<ContentChange> {
+    ) -> Option<QuarantineChange> {
         let start =
             self.broken.entry(incarnation).or_insert(BrokenStart { at: now, broke_at: now });
         if start.is_outage(now) {
@@ -93,10 +93,10 @@
     /// lived on.
     pub fn note_whole(
         &mut self,
-        content: CallContent,
+        content: RequestFingerprint,
         incarnation: ServerIncarnation,
         now: Instant,
-    ) -> Option<ContentChange> {
+    ) -> Option<QuarantineChange> {
         self.broken.remove(&incarnation);
         self.recent.note(content, now);
         let record = self.records.get_mut(content)?;
@@ -108,7 +108,7 @@
     }
 
     /// Another gateway tells of an outcome.
-    pub fn hear(&mut self, news: OutcomeNews, now: Instant) -> Option<ContentChange> {
+    pub fn hear(&mut self, news: OutcomeUpdate, now: Instant) -> Option<QuarantineChange> {
         let age = Duration::from_millis(u64::from(news.age_ms));
         let at = now.checked_sub(age).unwrap_or(now);
         let since = self.learns_since(now);
@@ -133,7 +133,7 @@
                 let is_void = |of: &mut Quarantine| of.version > 0 && of.version <= version;
                 record.quarantine.take_if(is_void)?;
                 self.records.note_explained();
-                Some(ContentChange::Cleared)
+                Some(QuarantineChange::Cleared)
             }
             SendOutcome::Whole => {
                 if since.is_some() {
@@ -151,33 +151,37 @@
 
     /// Decides on a request that has just come; a probe that is due is left to
     /// this request alone for a while.
-    pub fn admit(&mut self, content: CallContent, now: Instant) -> ContentVerdict {
-        let Some(held) = self.held(content, now) else { return ContentVerdict::Admitted };
+    pub fn admit(&mut self, content: RequestFingerprint, now: Instant) -> QuarantineVerdict {
+        let Some(held) = self.held(content, now) else { return QuarantineVerdict::Admitted };
         let record = self.records.get_mut(content);
         let quarantine = record.and_then(|record| record.quarantine.as_mut());
-        let Some(quarantine) = quarantine else { return ContentVerdict::Admitted };
+        let Some(quarantine) = quarantine else { return QuarantineVerdict::Admitted };
         if quarantine.may_probe(now) {
             quarantine.begin_probe();
-            return ContentVerdict::Probe(held);
+            return QuarantineVerdict::Probe(held);
         }
         if !held.left.is_zero() {
-            return ContentVerdict::HeldBack(held);
+            return QuarantineVerdict::HeldBack(held);
         }
         quarantine.begin_claim(now);
-        ContentVerdict::ProbeDue(held)
+        QuarantineVerdict::ProbeDue(held)
     }
 
     /// The probe of `content` that this gateway has claimed goes out.
-    pub fn begin_probe(&mut self, content: CallContent) {
+    pub fn begin_probe(&mut self, content: RequestFingerprint) {
         self.change_quarantine(content, Quarantine::begin_probe);
     }
 
     /// The request that was the probe is over, whatever came of it.
-    pub fn end_probe(&mut self, content: CallContent, now: Instant) {
+    pub fn end_probe(&mut self, content: RequestFingerprint, now: Instant) {
         self.change_quarantine(content, |quarantine| quarantine.end_probe(now));
     }
 
-    fn change_quarantine(&mut self, content: CallContent, change: impl FnOnce(&mut Quarantine)) {
+    fn change_quarantine(
+        &mut self,
+        content: RequestFingerprint,
+        change: impl FnOnce(&mut Quarantine),
+    ) {
         let record = self.records.get_mut(content);
         if let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) {
             change(quarantine);
@@ -185,12 +189,12 @@
     }
 
     /// The claim of the probe of `content` failed: it is made again soon.
-    pub fn end_claim(&mut self, content: CallContent, now: Instant) {
+    pub fn end_claim(&mut self, content: RequestFingerprint, now: Instant) {
         self.change_quarantine(content, |quarantine| quarantine.end_claim(now));
     }
 
     /// This gateway makes the probe that is due without a claim.
-    pub fn note_unclaimed_probe(&mut self, content: CallContent, now: Instant) {
+    pub fn note_unclaimed_probe(&mut self, content: RequestFingerprint, now: Instant) {
         self.change_quarantine(content, |quarantine| {
             let was_shared = quarantine.was_shared;
             *quarantine = Quarantine::new(quarantine.probes + 1, quarantine.version, now);
@@ -200,7 +204,7 @@
     }
 
     /// How `content` is held back; `None` when it is not.
-    pub fn held(&self, content: CallContent, now: Instant) -> Option<HeldContent> {
+    pub fn held(&self, content: RequestFingerprint, now: Instant) -> Option<QuarantineStatus> {
         let record = self.records.get(content)?;
         let quarantine = record.quarantine?;
         let awaits_probe = quarantine.awaits_probe(now);
@@ -210,7 +214,7 @@
         // Its row is all that is known, and others may be about to say more.
         let age = self.begun.map(|begun| now.saturating_duration_since(begun));
         let is_unheard = record.crashes() == 0 && age.is_some_and(|age| age < HEAR_TIME);
-        Some(HeldContent {
+        Some(QuarantineStatus {
             crashes: record.crashes(),
             probes: quarantine.probes,
             version: quarantine.version,
@@ -221,19 +225,19 @@
     }
 
     /// Server crashes under `content` since it was last answered whole.
-    pub fn crashes(&self, content: CallContent) -> usize {
-        self.records.get(content).map_or(0, ContentRecord::crashes)
+    pub fn crashes(&self, content: RequestFingerprint) -> usize {
+        self.records.get(content).map_or(0, CrashRecord::crashes)
     }
 
     /// What a report tells the others; with `tells_all` also what they were
     /// told before.
-    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeNews> {
+    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
         self.log.news(tells_all, now)
     }
 
     /// Forgets what is past; what was held back until now and is no longer. Its
     /// row is removed by the gateway that `removes_rows`.
-    pub fn tick(&mut self, removes_rows: bool, now: Instant) -> Vec<CallContent> {
+    pub fn tick(&mut self, removes_rows: bool, now: Instant) -> Vec<RequestFingerprint> {
         let mut forgotten = Vec::new();
         for (content, record) in self.records.iter_mut() {
             if let Some(quarantine) = record.quarantine.take_if(|of| of.is_unasked(now)) {
@@ -267,7 +271,11 @@
     }
 
     /// A further crash of a server is known under `content`.
-    fn weigh_crash(&mut self, content: CallContent, now: Instant) -> Option<ContentChange> {
+    fn weigh_crash(
+        &mut self,
+        content: RequestFingerprint,
+        now: Instant,
+    ) -> Option<QuarantineChange> {
         if self.records.get(content)?.quarantine.is_none() {
             return self.judge(content, now);
         }
@@ -276,7 +284,7 @@
     }
 
     /// Holds `content` back if servers crash under it.
-    pub fn judge(&mut self, content: CallContent, now: Instant) -> Option<ContentChange> {
+    pub fn judge(&mut self, content: RequestFingerprint, now: Instant) -> Option<QuarantineChange> {
         let since = self.learns_since(now);
         let record = self.records.get_mut(content)?;
         if record.quarantine.is_some() || !record.is_suspect(since, now) {
@@ -293,7 +301,7 @@
         if has_own {
             self.queue(RowChange::Write(content));
         }
-        Some(ContentChange::HeldBack)
+        Some(QuarantineChange::HeldBack)
     }
 
     /// Since when this gateway has heard all that happened, while that is not
@@ -329,15 +337,15 @@
 
     /// Takes the contents that were held back and are not, since another explains
     /// the crashes.
-    pub fn take_let_off(&mut self) -> Vec<CallContent> {
+    pub fn take_let_off(&mut self) -> Vec<RequestFingerprint> {
         std::mem::take(&mut self.let_off)
     }
 
-    fn clear(&mut self, content: CallContent, now: Instant) -> Option<ContentChange> {
+    fn clear(&mut self, content: RequestFingerprint, now: Instant) -> Option<QuarantineChange> {
         let quarantine = self.records.get_mut(content)?.quarantine.take()?;
         self.records.note_explained();
         self.queue_removal(content, quarantine.version, now);
-        Some(ContentChange::Cleared)
+        Some(QuarantineChange::Cleared)
     }
 
     /// The record of `content`, under which a server crashed at `at`. Before the
@@ -345,10 +353,10 @@
     /// content lately, of which the others are told.
     fn crash_record(
         &mut self,
-        content: CallContent,
+        content: RequestFingerprint,
         at: Instant,
         now: Instant,
-    ) -> &mut ContentRecord {
+    ) -> &mut CrashRecord {
         let is_recent = self.recent.contains(content, now);
         let record = self.records.entry(content);
         if record.crashes() == 0 && record.quarantine.is_none() && is_recent {
--- a/crates/gateway/src/belief/content_record.rs
+++ b/crates/gateway/src/cluster/crash_record.rs
@@ -16,9 +16,9 @@
 const CRASHES_TO_HOLD: usize = 3;
 /// Crashes remembered of one content; beyond that the oldest go. Where many servers
 /// crash in one moment, a crash of an earlier moment may be forgotten.
-const MOST_CRASHES: usize = 6;
+const MAX_CRASHES: usize = 6;
 /// Server crashes in the company of contents held back that do not count.
-const MOST_EXCUSED: usize = 1;
+const MAX_EXCUSED: usize = 1;
 /// Sends that break at one server within this broke by one crash of it: no
 /// server is back sooner. Reports of it come within this too.
 pub(super) const SAME_CRASH: Duration = Duration::from_secs(1);
@@ -34,7 +34,7 @@
 
 /// One content's record.
 #[derive(Debug, Default)]
-pub(super) struct ContentRecord {
+pub(super) struct CrashRecord {
     /// Server crashes under it, oldest first. Invariant: none before `whole_at`.
     crashes: SmallVec<[(CrashId, Instant); CRASHES_TO_HOLD]>,
     /// When it was answered whole last, as far as known.
@@ -51,7 +51,7 @@
     pub quarantine: Option<Quarantine>,
 }
 
-impl ContentRecord {
+impl CrashRecord {
     /// A send broke at the start `incarnation` of a server; the crash's id, or
     /// `None` when that crash is known.
     ///
@@ -84,13 +84,13 @@
     fn add(&mut self, id: CrashId, at: Instant) {
         let place = self.crashes.partition_point(|(_, known)| *known <= at);
         self.crashes.insert(place, (id, at));
-        if self.crashes.len() > MOST_CRASHES {
+        if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
     }
 
     /// True when a server crashed under it and under `other`.
-    pub fn shares_crash(&self, other: &ContentRecord) -> bool {
+    pub fn shares_crash(&self, other: &CrashRecord) -> bool {
         self.crash_ids().any(|id| other.crash_ids().any(|of_other| of_other == id))
     }
 
@@ -107,7 +107,7 @@
     /// was there each time, was noted before it.
     pub fn excuse(&mut self, explained: &FxHashSet<CrashId>, now: Instant) -> bool {
         let shared = self.crashes.iter().filter(|(id, _)| explained.contains(id)).count();
-        if shared > MOST_EXCUSED && !self.is_proven(now) {
+        if shared > MAX_EXCUSED && !self.is_proven(now) {
             return false;
         }
         self.forget_crashes(explained);
@@ -121,7 +121,7 @@
 
     /// True when a run of it went on so much longer than any of `other` that
     /// servers do not crash at its beginning.
-    pub fn outlives(&self, other: &ContentRecord) -> bool {
+    pub fn outlives(&self, other: &CrashRecord) -> bool {
         self.lived > (other.lived * OUTLIVES_TIMES).max(OUTLIVES_LEAST)
     }
 
--- a/crates/gateway/src/belief/content_records.rs
+++ b/crates/gateway/src/cluster/crash_records.rs
@@ -8,37 +8,37 @@
 use smallvec::SmallVec;
 
 use super::CrashId;
-use super::content_record::ContentRecord;
-use crate::model::CallContent;
+use super::crash_record::CrashRecord;
+use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
 /// Contents remembered at most, some 250 bytes each: those on a hundred servers
 /// that crash in one moment. Beyond that the least telling go.
-const MOST_RECORDS: usize = 1024;
+const MAX_RECORDS: usize = 1024;
 
 /// Records by content, and which server crashes the contents held back explain.
 #[derive(Debug, Default)]
-pub(super) struct ContentRecords {
-    /// Invariant: at most [`MOST_RECORDS`].
-    records: FxHashMap<CallContent, ContentRecord>,
+pub(super) struct CrashRecords {
+    /// Invariant: at most [`MAX_RECORDS`].
+    records: FxHashMap<RequestFingerprint, CrashRecord>,
     /// Invariant: after [`note_explained`](Self::note_explained), the server
     /// crashes under contents that are held back.
     explained: FxHashSet<CrashId>,
 }
 
-impl ContentRecords {
+impl CrashRecords {
     /// The record of `content`, if there is one.
-    pub fn get(&self, content: CallContent) -> Option<&ContentRecord> {
+    pub fn get(&self, content: RequestFingerprint) -> Option<&CrashRecord> {
         self.records.get(&content)
     }
 
     /// The record of `content`, if there is one.
-    pub fn get_mut(&mut self, content: CallContent) -> Option<&mut ContentRecord> {
+    pub fn get_mut(&mut self, content: RequestFingerprint) -> Option<&mut CrashRecord> {
         self.records.get_mut(&content)
     }
 
     /// The record of `content`, which is made if there is none.
-    pub fn entry(&mut self, content: CallContent) -> &mut ContentRecord {
+    pub fn entry(&mut self, content: RequestFingerprint) -> &mut CrashRecord {
         if !self.records.contains_key(&content) {
             self.make_room();
         }
@@ -46,7 +46,7 @@
     }
 
     fn make_room(&mut self) {
-        if self.records.len() < MOST_RECORDS {
+        if self.records.len() < MAX_RECORDS {
             return;
         }
         let least = self.records.iter().min_by_key(|(_, record)| record.weight());
@@ -56,17 +56,17 @@
     }
 
     /// All records, to change them.
-    pub fn iter_mut(&mut self) -> impl Iterator<Item = (CallContent, &mut ContentRecord)> {
+    pub fn iter_mut(&mut self) -> impl Iterator<Item = (RequestFingerprint, &mut CrashRecord)> {
         self.records.iter_mut().map(|(content, record)| (*content, record))
     }
 
     /// Keeps the records that `is_kept`.
-    pub fn retain(&mut self, is_kept: impl Fn(&ContentRecord) -> bool) {
+    pub fn retain(&mut self, is_kept: impl Fn(&CrashRecord) -> bool) {
         self.records.retain(|_, record| is_kept(record));
     }
 
     /// The contents that are held back.
-    pub fn held(&self) -> impl Iterator<Item = (CallContent, &ContentRecord)> {
+    pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &CrashRecord)> {
         let all = self.records.iter().map(|(content, record)| (*content, record));
         all.filter(|(_, record)| record.quarantine.is_some())
     }
@@ -80,10 +80,10 @@
     /// server crashes; `None` when it shares none.
     ///
     /// Those whose runs lived longest go first, as the likeliest to be sound.
-    pub fn place_in_company(&self, content: CallContent) -> Option<usize> {
+    pub fn place_in_company(&self, content: RequestFingerprint) -> Option<usize> {
         let record = self.records.get(&content)?;
-        let rank = |content, record: &ContentRecord| (Reverse(record.lived), content);
-        let is_company = |other: &&(CallContent, &ContentRecord)| {
+        let rank = |content, record: &CrashRecord| (Reverse(record.lived), content);
+        let is_company = |other: &&(RequestFingerprint, &CrashRecord)| {
             let (other, of) = **other;
             other != content && of.is_undecided() && of.shares_crash(record)
         };
@@ -98,7 +98,8 @@
 
     /// Marks the contents that are held back for the same server crashes as others.
     pub fn mark_shared(&mut self) {
-        let held: SmallVec<[CallContent; 4]> = self.held().map(|(content, _)| content).collect();
+        let held: SmallVec<[RequestFingerprint; 4]> =
+            self.held().map(|(content, _)| content).collect();
         for content in held {
             if self.place_in_company(content).is_none() {
                 continue;
@@ -112,9 +113,9 @@
 
     /// Contents held back of which a run outlived by far all runs of another that
     /// is held back for the same server crashes.
-    pub fn long_lived(&self) -> SmallVec<[CallContent; 2]> {
+    pub fn long_lived(&self) -> SmallVec<[RequestFingerprint; 2]> {
         let undecided = || self.held().filter(|(_, record)| record.is_undecided());
-        let is_explained = |content: CallContent, record: &ContentRecord| {
+        let is_explained = |content: RequestFingerprint, record: &CrashRecord| {
             undecided().any(|(other, of)| {
                 other != content && record.outlives(of) && of.shares_crash(record)
             })
@@ -125,7 +126,7 @@
 
     /// Ends holding `content` back, and takes back the crashes that those still
     /// held back explain; the version of its row.
-    pub fn let_off(&mut self, content: CallContent, now: Instant) -> StoreVersion {
+    pub fn let_off(&mut self, content: RequestFingerprint, now: Instant) -> StoreVersion {
         let Some(record) = self.records.get_mut(&content) else { return 0 };
         let quarantine = record.quarantine.take();
         self.note_explained();
@@ -139,7 +140,7 @@
     /// What is held back, or the server crashes under it, has changed.
     pub fn note_explained(&mut self) {
         let held = self.records.values().filter(|record| record.quarantine.is_some());
-        self.explained = held.flat_map(ContentRecord::crash_ids).collect();
+        self.explained = held.flat_map(CrashRecord::crash_ids).collect();
     }
 
     /// True when the crash `id` of a server, noted for `content`, is that of
@@ -148,7 +149,7 @@
     /// Guards against sound requests that are held back in the company of fatal
     /// ones: a stream that goes on at the next server may be there when that one
     /// crashes too.
-    pub fn is_explained(&mut self, content: CallContent, id: CrashId, now: Instant) -> bool {
+    pub fn is_explained(&mut self, content: RequestFingerprint, id: CrashId, now: Instant) -> bool {
         if !self.explained.contains(&id) {
             return false;
         }
@@ -175,13 +176,13 @@
 /// Server crashes that no longer count for some contents.
 #[derive(Debug)]
 pub(super) struct ExcusedCrashes<'a> {
-    contents: FxHashSet<CallContent>,
+    contents: FxHashSet<RequestFingerprint>,
     explained: &'a FxHashSet<CrashId>,
 }
 
 impl ExcusedCrashes<'_> {
     /// True when the crash `id` no longer counts for `content`.
-    pub fn contains(&self, content: CallContent, id: CrashId) -> bool {
+    pub fn contains(&self, content: RequestFingerprint, id: CrashId) -> bool {
         self.explained.contains(&id) && self.contents.contains(&content)
     }
 }
--- a/crates/gateway/src/belief/domain_readers.rs
+++ b/crates/gateway/src/cluster/domain_prefill_servers.rs
@@ -14,25 +14,26 @@
 /// The cheapest prefill server of each failure domain, found once a decision:
 /// once for each pair of engines grows with the square of a site.
 #[derive(Debug)]
-pub(super) struct DomainReaders<'a> {
+pub(super) struct DomainPrefillServers<'a> {
     cheapest: SmallVec<[(Candidate<'a>, f64); 8]>,
 }
 
-impl<'a> DomainReaders<'a> {
+impl<'a> DomainPrefillServers<'a> {
     /// The cheapest of `readers` in each domain by `cost`.
     pub fn new(readers: &[Candidate<'a>], cost: impl Fn(&Candidate<'_>) -> f64) -> Self {
         let mut cheapest: SmallVec<[(Candidate<'a>, f64); 8]> = SmallVec::new();
         for reader in readers {
             let cost = cost(reader);
-            let domain = &reader.belief.entry.domain;
-            let same = |known: &&mut (Candidate<'a>, f64)| known.0.belief.entry.domain == *domain;
+            let domain = &reader.server_state.entry.domain;
+            let same =
+                |known: &&mut (Candidate<'a>, f64)| known.0.server_state.entry.domain == *domain;
             match cheapest.iter_mut().find(same) {
                 Some(known) if cost < known.1 => *known = (*reader, cost),
                 Some(_) => {}
                 None => cheapest.push((*reader, cost)),
             }
         }
-        DomainReaders { cheapest }
+        DomainPrefillServers { cheapest }
     }
 
     /// The cheapest for a decode server in `domain` at which no more than
@@ -42,7 +43,7 @@
             .iter()
             .filter(|(reader, _)| reader.load().prompt_tokens <= longest_queue)
             .map(|(reader, cost)| {
-                let entry = &reader.belief.entry;
+                let entry = &reader.server_state.entry;
                 (&entry.server, cost + transfer_cost(&entry.domain, domain))
             })
             .min_by(|left, right| left.1.total_cmp(&right.1))
--- a/crates/gateway/src/belief/opening_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -6,10 +6,10 @@
 use serde::Serialize;
 
 use super::pooled_count::PooledCount;
-use super::pooled_count::is_sound;
+use super::pooled_count::is_reliable;
 
 /// Streams needed before their mean is believed.
-const LEAST_STREAMS: u32 = 8;
+const MIN_STREAMS: u32 = 8;
 /// The weight of one stream in the mean, once there are enough. After a restart
 /// of all gateways callers come back at once and streams take a second to begin;
 /// that must be forgotten in seconds by gateways that serve two streams a second
@@ -21,19 +21,19 @@
 /// Guards against a line in which nobody counts as able to be on time: it falls
 /// back to the order of arrival, everyone waits behind those already late, and
 /// becomes late in turn.
-const MOST_PART: f64 = 0.5;
+const MAX_PART: f64 = 0.5;
 /// Mean deviations that are added to the mean: nine streams of ten begin
 /// within that.
 const DEVIATIONS: f64 = 1.6;
 /// The time from placement to first event, as a mean and its mean deviation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct OpeningTime {
+pub struct FirstEventTime {
     mean_s: f64,
     deviation_s: f64,
     streams: u32,
 }
 
-impl OpeningTime {
+impl FirstEventTime {
     /// Taken while too little is known: reading a mean prompt takes 90 ms, its
     /// transfer and first tokens as long again.
     pub const UNKNOWN: Duration = Duration::from_millis(300);
@@ -51,9 +51,9 @@
     }
 
     /// What this and `other` have learned, by how many streams each stands for.
-    pub fn with(&self, other: &OpeningTime) -> OpeningTime {
+    pub fn with(&self, other: &FirstEventTime) -> FirstEventTime {
         let pool = PooledCount::new(self.streams, other.streams);
-        OpeningTime {
+        FirstEventTime {
             mean_s: pool.mean(self.mean_s, other.mean_s),
             deviation_s: pool.mean(self.deviation_s, other.deviation_s),
             streams: pool.samples,
@@ -61,19 +61,19 @@
     }
 
     /// False for what no gateway can have learned.
-    pub fn is_sound(&self) -> bool {
-        [self.mean_s, self.deviation_s].into_iter().all(is_sound)
+    pub fn is_reliable(&self) -> bool {
+        [self.mean_s, self.deviation_s].into_iter().all(is_reliable)
     }
 
     /// How long after its caller's first try a stream may find its room and
     /// still begin within `target`.
     pub fn latest_start(&self, target: Duration) -> Duration {
-        target.saturating_sub(self.likely().min(target.mul_f64(MOST_PART)))
+        target.saturating_sub(self.likely().min(target.mul_f64(MAX_PART)))
     }
 
     /// Within this nine streams of ten have begun.
     pub fn likely(&self) -> Duration {
-        if self.streams < LEAST_STREAMS {
+        if self.streams < MIN_STREAMS {
             return Self::UNKNOWN;
         }
         Duration::from_secs_f64(self.mean_s + self.deviation_s * DEVIATIONS)
--- a/crates/gateway/src/belief/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -9,14 +9,14 @@
 use rustc_hash::FxHashSet;
 
 use super::FleetChange;
-use super::ListedServers;
 use super::LoadShare;
-use super::PeerLoads;
+use super::PeerReports;
 use super::ServerBackoffs;
-use super::ServerBelief;
 use super::ServerDepartures;
 use super::ServerLimits;
+use super::ServerListing;
 use super::ServerOutcome;
+use super::ServerState;
 use crate::model::ServerEntry;
 use crate::model::ServerIncarnation;
 use crate::model::ServerKey;
@@ -57,11 +57,11 @@
 /// All known servers and the load on them.
 #[derive(Debug, Default)]
 pub struct Fleet {
-    pub(super) servers: FxHashMap<ServerKey, ServerBelief>,
+    pub(super) servers: FxHashMap<ServerKey, ServerState>,
     /// Invariant: each id in `servers` stands here once, under its entry's
     /// service.
     pub(super) services: FxHashMap<ServiceName, Vec<ServerKey>>,
-    pub peers: PeerLoads,
+    pub peers: PeerReports,
     pub limits: ServerLimits,
     pub departures: ServerDepartures,
     pub backoffs: ServerBackoffs,
@@ -149,7 +149,7 @@
         self.removed.remove(&key);
         self.services.entry(entry.service.clone()).or_default().push(key.clone());
         let is_leaving = entry.is_leaving;
-        self.servers.insert(key.clone(), ServerBelief::new(entry, version));
+        self.servers.insert(key.clone(), ServerState::new(entry, version));
         (!is_leaving).then_some(FleetChange::Joined(key))
     }
 
@@ -188,15 +188,15 @@
         now: Instant,
     ) -> Option<FleetChange> {
         let lapse = self.lapse_until(now);
-        let belief = self.servers.get_mut(key)?;
-        if belief.version > version {
+        let server_state = self.servers.get_mut(key)?;
+        if server_state.version > version {
             return None;
         }
         if let Some(until) = lapse
-            && !belief.entry.is_leaving
+            && !server_state.entry.is_leaving
         {
-            belief.gone_at.get_or_insert(until);
-            return Some(FleetChange::Lapsed(belief.entry.server.clone()));
+            server_state.gone_at.get_or_insert(until);
+            return Some(FleetChange::Lapsed(server_state.entry.server.clone()));
         }
         self.forget(key, version, now)
     }
@@ -204,11 +204,11 @@
     /// Takes in a whole listing as of `version`: what it lacks is removed.
     pub fn replace(
         &mut self,
-        listing: ListedServers,
+        listing: ServerListing,
         version: StoreVersion,
         now: Instant,
     ) -> Vec<FleetChange> {
-        let ListedServers { entries, unreadable } = listing;
+        let ServerListing { entries, unreadable } = listing;
         let readable = entries.iter().map(|(entry, _)| &entry.server);
         let listed: FxHashSet<ServerKey> =
             readable.chain(unreadable.iter().map(|(key, _)| key)).cloned().collect();
@@ -227,7 +227,7 @@
         self.changing.retain(|_, (_, until)| now < *until);
         if self.has_flow_control() {
             let listed: FxHashSet<ServerIncarnation> =
-                self.servers.values().map(|belief| belief.incarnation).collect();
+                self.servers.values().map(|server_state| server_state.incarnation).collect();
             self.limits.tick(|server| listed.contains(&server), now);
             self.departures.tick(|server| listed.contains(&server), now);
             self.backoffs.tick(|server| listed.contains(&server), now);
@@ -237,8 +237,8 @@
         let gone: Vec<(ServerKey, StoreVersion)> = self
             .servers
             .values()
-            .filter(|belief| belief.gone_at.is_some_and(|at| at <= now || !may_have_lapsed))
-            .map(|belief| (belief.entry.server.clone(), belief.version))
+            .filter(|state| state.gone_at.is_some_and(|at| at <= now || !may_have_lapsed))
+            .map(|server_state| (server_state.entry.server.clone(), server_state.version))
             .collect();
         let is_remembered = |removed: &RemovedServer| {
             now.saturating_duration_since(removed.removed_at) < REMOVED_TIME
@@ -258,63 +258,63 @@
     }
 
     /// Engines that we have told to change, for a report to the peers.
-    pub fn own_changing(&self, now: Instant) -> Vec<u64> {
+    pub fn local_stage_changes(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
-            .filter(|belief| self.is_own_change(belief, now))
-            .map(|belief| belief.incarnation)
+            .filter(|server_state| self.is_own_change(server_state, now))
+            .map(|server_state| server_state.incarnation)
             .collect()
     }
 
-    pub(super) fn is_own_change(&self, belief: &ServerBelief, now: Instant) -> bool {
+    pub(super) fn is_own_change(&self, server_state: &ServerState, now: Instant) -> bool {
         !self.changing.is_empty()
             && self
                 .changing
-                .get(&belief.entry.server)
-                .is_some_and(|(stage, until)| belief.entry.stage != *stage && now < *until)
+                .get(&server_state.entry.server)
+                .is_some_and(|(stage, until)| server_state.entry.stage != *stage && now < *until)
     }
 
     /// One server.
-    pub fn server(&self, key: &str) -> Option<&ServerBelief> {
+    pub fn server(&self, key: &str) -> Option<&ServerState> {
         self.servers.get(key)
     }
 
     /// The server that runs as `incarnation`.
-    pub fn server_by_incarnation(&self, incarnation: ServerIncarnation) -> Option<&ServerBelief> {
-        self.servers.values().find(|belief| belief.incarnation == incarnation)
+    pub fn server_by_incarnation(&self, incarnation: ServerIncarnation) -> Option<&ServerState> {
+        self.servers.values().find(|server_state| server_state.incarnation == incarnation)
     }
 
     /// Work at a server, ours and the other gateways'.
-    pub fn load(&self, belief: &ServerBelief, now: Instant) -> LoadShare {
-        belief.own.plus(self.peers.server(belief.incarnation, now).load)
+    pub fn load(&self, server_state: &ServerState, now: Instant) -> LoadShare {
+        server_state.own.plus(self.peers.server(server_state.incarnation, now).load)
     }
 
     /// Our own work at each server that has any, for a report to the peers.
-    pub fn own_loads(&self) -> Vec<(u64, LoadShare)> {
+    pub fn local_loads(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
-            .filter(|belief| belief.own.running > 0)
-            .map(|belief| (belief.incarnation, belief.own))
+            .filter(|server_state| server_state.own.running > 0)
+            .map(|server_state| (server_state.incarnation, server_state.own))
             .collect()
     }
 
     /// Servers that we pass over ourselves, or that are not what their row
     /// tells, for a report to the peers.
-    pub fn own_aside(&self, now: Instant) -> Vec<u64> {
+    pub fn local_ejections(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
-            .filter(|belief| belief.is_outdated(now) || belief.health.is_aside(now))
-            .map(|belief| belief.incarnation)
+            .filter(|state| state.is_outdated(now) || state.health.is_aside(now))
+            .map(|server_state| server_state.incarnation)
             .collect()
     }
 
     /// Counts work that is being sent to a server; the start of the server at
     /// which it counts, if the server is known.
     pub fn begin(&mut self, key: &str, work: LoadShare, now: Instant) -> Option<ServerIncarnation> {
-        let belief = self.servers.get_mut(key)?;
-        belief.health.note_work(now);
-        belief.own = belief.own.plus(work);
-        Some(belief.incarnation)
+        let server_state = self.servers.get_mut(key)?;
+        server_state.health.note_work(now);
+        server_state.own = server_state.own.plus(work);
+        Some(server_state.incarnation)
     }
 
     /// Work at a start of a server has changed from `before` to `after`.
@@ -325,15 +325,15 @@
         before: LoadShare,
         after: LoadShare,
     ) {
-        if let Some(belief) = self.start_of(key, incarnation) {
-            belief.own = belief.own.minus(before).plus(after);
+        if let Some(server_state) = self.start_of(key, incarnation) {
+            server_state.own = server_state.own.minus(before).plus(after);
         }
     }
 
     /// Work at a start of a server has ended.
     pub fn end(&mut self, key: &str, incarnation: ServerIncarnation, work: LoadShare) {
-        if let Some(belief) = self.start_of(key, incarnation) {
-            belief.own = belief.own.minus(work);
+        if let Some(server_state) = self.start_of(key, incarnation) {
+            server_state.own = server_state.own.minus(work);
         }
     }
 
@@ -345,26 +345,26 @@
         outcome: ServerOutcome,
         now: Instant,
     ) {
-        let Some(belief) = self.start_of(key, incarnation) else { return };
+        let Some(server_state) = self.start_of(key, incarnation) else { return };
         // Guards against prompts and streams that all go to a server which has
         // been replaced at its address: each is rejected and counts as a
         // repeat, 160 in 10 s when a third of 12 engines started anew. Its row
         // is a heartbeat old; the next tells what is there.
         if outcome == ServerOutcome::Misdirected {
-            belief.outdated_until = Some(now + OUTDATED_TIME);
+            server_state.outdated_until = Some(now + OUTDATED_TIME);
         }
-        belief.health.note(outcome, now);
+        server_state.health.note(outcome, now);
     }
 
     /// A server, if it has not started again since `incarnation`.
-    fn start_of(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerBelief> {
-        self.servers.get_mut(key).filter(|belief| belief.incarnation == incarnation)
+    fn start_of(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerState> {
+        self.servers.get_mut(key).filter(|server_state| server_state.incarnation == incarnation)
     }
 
     /// Notes stray bytes on a connection to a server.
     pub fn note_garbled(&mut self, key: &str, now: Instant) {
-        if let Some(belief) = self.servers.get_mut(key) {
-            belief.health.note_garbled(now);
+        if let Some(server_state) = self.servers.get_mut(key) {
+            server_state.health.note_garbled(now);
         }
     }
 
@@ -379,17 +379,17 @@
     }
 
     fn forget(&mut self, key: &str, version: StoreVersion, now: Instant) -> Option<FleetChange> {
-        let belief = self.servers.remove(key)?;
-        self.unlist(&belief);
+        let server_state = self.servers.remove(key)?;
+        self.unlist(&server_state);
         let removed =
-            RemovedServer { version, started_at: belief.entry.started_at, removed_at: now };
-        self.removed.insert(belief.entry.server.clone(), removed);
-        Some(FleetChange::Removed(belief.entry.server))
+            RemovedServer { version, started_at: server_state.entry.started_at, removed_at: now };
+        self.removed.insert(server_state.entry.server.clone(), removed);
+        Some(FleetChange::Removed(server_state.entry.server))
     }
 
-    fn unlist(&mut self, belief: &ServerBelief) {
-        if let Some(keys) = self.services.get_mut(&belief.entry.service) {
-            keys.retain(|listed| listed != &belief.entry.server);
+    fn unlist(&mut self, server_state: &ServerState) {
+        if let Some(keys) = self.services.get_mut(&server_state.entry.service) {
+            keys.retain(|listed| listed != &server_state.entry.server);
         }
     }
 }
@@ -398,7 +398,7 @@
 /// leaving never counts as staying again: it ends in any case, and an older
 /// row may come late.
 fn update(
-    known: &mut ServerBelief,
+    known: &mut ServerState,
     mut entry: ServerEntry,
     version: StoreVersion,
 ) -> Option<FleetChange> {
--- a/crates/gateway/src/belief/fleet_news.rs
+++ b/crates/gateway/src/cluster/fleet_change.rs
@@ -18,7 +18,7 @@
 
 /// A whole listing of the servers' table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ListedServers {
+pub struct ServerListing {
     pub entries: Vec<(ServerEntry, StoreVersion)>,
     /// Rows that hold no registration.
     pub unreadable: Vec<(ServerKey, StoreVersion)>,
--- a/crates/gateway/src/belief/fleet_departures.rs
+++ b/crates/gateway/src/cluster/fleet_departures.rs
@@ -20,8 +20,8 @@
             return None;
         }
         let mut servers = self.servers.values_mut();
-        let belief = servers.find(|belief| belief.incarnation == server)?;
-        let was_leaving = std::mem::replace(&mut belief.entry.is_leaving, true);
-        (!was_leaving).then(|| FleetChange::Leaving(belief.entry.server.clone()))
+        let server_state = servers.find(|server_state| server_state.incarnation == server)?;
+        let was_leaving = std::mem::replace(&mut server_state.entry.is_leaving, true);
+        (!was_leaving).then(|| FleetChange::Leaving(server_state.entry.server.clone()))
     }
 }
--- a/crates/gateway/src/belief/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::BackoffNews;
+use super::BackoffUpdate;
 use super::Fleet;
-use super::LimitNews;
-use super::ServerBelief;
+use super::LimitUpdate;
 use super::ServerLimitChange;
+use super::ServerState;
 use super::limit_share::even_limit_share;
 use super::limit_share::limit_share;
 use super::server_shards::shares_shard;
@@ -33,7 +33,7 @@
     }
 
     /// Applies a limit reported by another gateway.
-    pub fn hear_limit(&mut self, news: LimitNews, now: Instant) -> Option<ServerLimitChange> {
+    pub fn hear_limit(&mut self, news: LimitUpdate, now: Instant) -> Option<ServerLimitChange> {
         let change = self.limits.hear(news, now)?;
         self.update_share(news.server, now);
         Some(change)
@@ -52,19 +52,19 @@
 
     /// Applies a backoff reported by another gateway; true when it concerns this gateway and
     /// ends later than the known one.
-    pub fn hear_backoff(&mut self, news: BackoffNews, now: Instant) -> bool {
+    pub fn hear_backoff(&mut self, news: BackoffUpdate, now: Instant) -> bool {
         let until = now + Duration::from_millis(u64::from(news.left_ms));
         self.backoffs.note(news.server, news.gateway, until, now) && news.gateway == self.own
     }
 
     /// The backoffs that a report includes: recent ones of this gateway, or with `tells_all`
     /// all of them, and all known ones of `newcomers`.
-    pub fn backoff_news(
+    pub fn backoff_update(
         &self,
         tells_all: bool,
         newcomers: &[u64],
         now: Instant,
-    ) -> Vec<BackoffNews> {
+    ) -> Vec<BackoffUpdate> {
         let tells_all_of =
             |gateway| (tells_all && gateway == self.own) || newcomers.contains(&gateway);
         self.backoffs.news(self.own, tells_all_of, now)
@@ -72,14 +72,15 @@
 
     /// True when no backoff of the server is in force for this gateway and its rate limit
     /// allows a request now.
-    pub(super) fn may_send(&self, belief: &ServerBelief, now: Instant) -> bool {
-        let server = belief.incarnation;
+    pub(super) fn may_send(&self, server_state: &ServerState, now: Instant) -> bool {
+        let server = server_state.incarnation;
         self.backoffs.until(server, self.own, now).is_none() && self.limits.may_send(server, now)
     }
 
     /// True when the server with the id `key` states a limit.
     pub fn has_limit(&self, key: &str) -> bool {
-        self.server(key).is_some_and(|belief| self.limits.limit(belief.incarnation).is_some())
+        self.server(key)
+            .is_some_and(|server_state| self.limits.limit(server_state.incarnation).is_some())
     }
 
     /// Takes a token for a request that is about to be sent to `server`; false when a
@@ -98,8 +99,8 @@
         now: Instant,
     ) -> Option<Instant> {
         self.open_servers(service, now)
-            .filter(|(belief, _)| suits(belief.entry.stage))
-            .filter_map(|(belief, _)| self.next_send_to(belief.incarnation, now))
+            .filter(|(server_state, _)| suits(server_state.entry.stage))
+            .filter_map(|(server_state, _)| self.next_send_to(server_state.incarnation, now))
             .min()
     }
 
@@ -122,9 +123,9 @@
         let shares: Vec<(ServerIncarnation, f64)> = self
             .servers
             .values()
-            .filter_map(|belief| {
-                let limit = self.limits.limit(belief.incarnation)?;
-                Some((belief.incarnation, self.own_share(belief, limit)))
+            .filter_map(|server_state| {
+                let limit = self.limits.limit(server_state.incarnation)?;
+                Some((server_state.incarnation, self.own_share(server_state, limit)))
             })
             .collect();
         for (server, share) in shares {
@@ -138,15 +139,15 @@
         }
     }
 
-    fn own_share(&self, belief: &ServerBelief, limit: RequestRate) -> f64 {
-        let shards = self.shards(&belief.entry.service);
-        if !shares_shard(self.own, belief.incarnation, shards) {
+    fn own_share(&self, server_state: &ServerState, limit: RequestRate) -> f64 {
+        let shards = self.shards(&server_state.entry.service);
+        if !shares_shard(self.own, server_state.incarnation, shards) {
             return 0.0;
         }
         let heard = self.peers.len() + 1;
         if heard * 2 <= self.gateways {
             return even_limit_share(limit, self.gateways);
         }
-        limit_share(limit, self.peers.limit_rank(self.own, belief.incarnation, shards))
+        limit_share(limit, self.peers.limit_rank(self.own, server_state.incarnation, shards))
     }
 }
--- a/crates/gateway/src/belief/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -4,7 +4,7 @@
 
 use super::Fleet;
 use super::LoadShare;
-use super::ServerBelief;
+use super::ServerState;
 use super::ServerSum;
 use super::server_shards::shard_count;
 use super::server_shards::shares_shard;
@@ -35,11 +35,11 @@
         &'a self,
         service: &str,
         now: Instant,
-    ) -> impl Iterator<Item = (&'a ServerBelief, ServerSum)> {
+    ) -> impl Iterator<Item = (&'a ServerState, ServerSum)> {
         let shards = self.shards(service);
         let has_near = shards > 1 && self.open_of(service, shards, now).next().is_some();
         self.open_of(service, if has_near { shards } else { 1 }, now)
-            .map(move |belief| (belief, self.peers.server(belief.incarnation, now)))
+            .map(move |state| (state, self.peers.server(state.incarnation, now)))
             .filter(|(_, others)| others.changing == 0)
     }
 
@@ -49,20 +49,20 @@
         service: &str,
         shards: u64,
         now: Instant,
-    ) -> impl Iterator<Item = &'a ServerBelief> {
+    ) -> impl Iterator<Item = &'a ServerState> {
         let keys = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter()
             .filter_map(|key| self.servers.get(key))
-            .filter(move |belief| shares_shard(self.own, belief.incarnation, shards))
-            .filter(move |belief| belief.is_open(now) && !self.is_own_change(belief, now))
+            .filter(move |server_state| shares_shard(self.own, server_state.incarnation, shards))
+            .filter(move |state| state.is_open(now) && !self.is_own_change(state, now))
     }
 
     /// The same at servers that gateways of all shards use.
-    pub fn own_loads_for_all(&self) -> Vec<(u64, LoadShare)> {
+    pub fn local_loads_for_peers(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
-            .filter(|belief| belief.own.running > 0 && self.shards(&belief.entry.service) == 1)
-            .map(|belief| (belief.incarnation, belief.own))
+            .filter(|state| state.own.running > 0 && self.shards(&state.entry.service) == 1)
+            .map(|server_state| (server_state.incarnation, server_state.own))
             .collect()
     }
 }
--- a/crates/gateway/src/belief/incarnation_table.rs
+++ b/crates/gateway/src/cluster/incarnation_table.rs
@@ -12,7 +12,7 @@
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
 /// Maximum number of servers in the table. Bounds its memory, since values
 /// reported by other gateways are not verified.
-const MOST_SERVERS: usize = 4096;
+const MAX_SERVERS: usize = 4096;
 
 /// Values stated by servers, at most one per server incarnation.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
         now: Instant,
         default: impl FnOnce() -> T,
     ) -> Option<&mut T> {
-        if self.entries.len() >= MOST_SERVERS && !self.entries.contains_key(&server) {
+        if self.entries.len() >= MAX_SERVERS && !self.entries.contains_key(&server) {
             return None;
         }
         let entry = self.entries.entry(server);
--- a/crates/gateway/src/belief/limit_share.rs
+++ b/crates/gateway/src/cluster/limit_share.rs
@@ -4,12 +4,12 @@
 
 /// Lower limits are raised to this many requests per second, so that an occasional
 /// request still reaches the server and its answer can lift the limit.
-const LEAST_RATE: f64 = 0.1;
+const MIN_RATE: f64 = 0.1;
 /// Gateways with a share of the limit for each request per second, in addition to
-/// [`LEAST_HOLDERS`].
+/// [`MIN_HOLDERS`].
 const HOLDERS_PER_RATE: f64 = 1.5;
 /// Gateways with a share of the lowest limit.
-const LEAST_HOLDERS: f64 = 2.0;
+const MIN_HOLDERS: f64 = 2.0;
 
 /// Where a gateway stands among those that may send to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -26,8 +26,8 @@
 /// servers without a limit. Guards against hundreds of gateways that each hold a token
 /// and all send at the same time.
 pub fn limit_share(limit: RequestRate, rank: LimitRank) -> f64 {
-    let rate = limit.per_second().max(LEAST_RATE);
-    let most = (HOLDERS_PER_RATE * rate + LEAST_HOLDERS) as usize;
+    let rate = limit.per_second().max(MIN_RATE);
+    let most = (HOLDERS_PER_RATE * rate + MIN_HOLDERS) as usize;
     let holders = most.min(rank.gateways.max(1));
     if rank.before < holders { rate / holders as f64 } else { 0.0 }
 }
@@ -35,5 +35,5 @@
 /// An equal share for each of the registered `gateways`, used by a gateway that hears too
 /// few of them to determine its rank.
 pub fn even_limit_share(limit: RequestRate, gateways: usize) -> f64 {
-    limit.per_second().max(LEAST_RATE) / gateways.max(1) as f64
+    limit.per_second().max(MIN_RATE) / gateways.max(1) as f64
 }
--- a/crates/gateway/src/belief/limit_news.rs
+++ b/crates/gateway/src/cluster/limit_update.rs
@@ -8,7 +8,7 @@
 
 /// The last known limit of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct LimitNews {
+pub struct LimitUpdate {
     pub server: ServerIncarnation,
     /// `None` after the limit was lifted.
     pub rate: Option<RequestRate>,
--- a/crates/gateway/src/belief/load_share.rs
+++ b/crates/gateway/src/cluster/load_share.rs
@@ -8,7 +8,7 @@
 /// The most that another gateway's report counts for, in each field: far more
 /// than one gateway can have at one server, and little enough that the sum
 /// over a thousand gateways does not overflow.
-const MOST_HEARD: u32 = u32::MAX / 1024;
+const MAX_HEARD: u32 = u32::MAX / 1024;
 
 /// Work at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -96,10 +96,10 @@
     /// would make sums overflow, and a server look full for good.
     pub fn bounded(self) -> LoadShare {
         LoadShare {
-            running: self.running.min(MOST_HEARD),
-            prompt_tokens: self.prompt_tokens.min(MOST_HEARD),
-            output_tokens: self.output_tokens.min(MOST_HEARD),
-            made_tokens: self.made_tokens.min(MOST_HEARD),
+            running: self.running.min(MAX_HEARD),
+            prompt_tokens: self.prompt_tokens.min(MAX_HEARD),
+            output_tokens: self.output_tokens.min(MAX_HEARD),
+            made_tokens: self.made_tokens.min(MAX_HEARD),
         }
     }
 }
--- a/crates/gateway/src/belief/outcome_log.rs
+++ b/crates/gateway/src/cluster/outcome_log.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use super::CrashId;
-use super::OutcomeNews;
+use super::OutcomeUpdate;
 use super::SendOutcome;
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 
 /// For this long each report tells of an outcome: one report at the slowest
 /// pace, and a few at a small site.
@@ -17,27 +17,27 @@
 const TELL_TIME: Duration = Duration::from_secs(10);
 /// Outcomes told at most: some 25 bytes each in a report. A gateway has a few
 /// sends at a server that crashes, and the newest say most.
-const MOST_TOLD: usize = 32;
+const MAX_TOLD: usize = 32;
 
 /// Outcomes to tell, oldest first. Telling each several times makes up for
 /// lost datagrams; hearing one again changes nothing.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeLog {
-    /// Invariant: at most [`MOST_TOLD`].
-    seen: VecDeque<(Instant, CallContent, SendOutcome)>,
+    /// Invariant: at most [`MAX_TOLD`].
+    seen: VecDeque<(Instant, RequestFingerprint, SendOutcome)>,
 }
 
 impl OutcomeLog {
     /// Notes an outcome.
-    pub fn push(&mut self, content: CallContent, outcome: SendOutcome, now: Instant) {
-        if self.seen.len() == MOST_TOLD {
+    pub fn push(&mut self, content: RequestFingerprint, outcome: SendOutcome, now: Instant) {
+        if self.seen.len() == MAX_TOLD {
             self.seen.pop_front();
         }
         self.seen.push_back((now, content, outcome));
     }
 
     /// True when this gateway saw `content` answered whole within `span`.
-    pub fn saw_whole(&self, content: CallContent, span: Duration, now: Instant) -> bool {
+    pub fn saw_whole(&self, content: RequestFingerprint, span: Duration, now: Instant) -> bool {
         self.seen.iter().any(|(at, of, outcome)| {
             let is_whole = *of == content && *outcome == SendOutcome::Whole;
             is_whole && now.saturating_duration_since(*at) < span
@@ -45,7 +45,7 @@
     }
 
     /// Keeps only those server crashes that `is_kept`.
-    pub fn retain_crashes(&mut self, is_kept: impl Fn(CallContent, CrashId) -> bool) {
+    pub fn retain_crashes(&mut self, is_kept: impl Fn(RequestFingerprint, CrashId) -> bool) {
         self.seen.retain(|(_, content, outcome)| match outcome {
             SendOutcome::Crashed(id) => is_kept(*content, *id),
             SendOutcome::Lived(_) | SendOutcome::Cleared(_) | SendOutcome::Whole => true,
@@ -53,11 +53,11 @@
     }
 
     /// What a report tells: fresh outcomes, or with `tells_all` older ones too.
-    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeNews> {
+    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
         let age = |at: Instant| now.saturating_duration_since(at);
         self.seen.retain(|(at, ..)| age(*at) < TELL_TIME);
         let told = self.seen.iter().filter(|(at, ..)| tells_all || age(*at) < FRESH_TIME);
-        told.map(|(at, content, outcome)| OutcomeNews {
+        told.map(|(at, content, outcome)| OutcomeUpdate {
             content: *content,
             outcome: *outcome,
             age_ms: age(*at).as_millis() as u32,
--- a/crates/gateway/src/belief/outcome_news.rs
+++ b/crates/gateway/src/cluster/outcome_update.rs
@@ -4,7 +4,7 @@
 use serde::Serialize;
 use strum::Display;
 
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
 /// One crash of one start of a server. Gateways that saw the same crash name it
@@ -29,8 +29,8 @@
 
 /// An outcome that the other gateways are told of.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct OutcomeNews {
-    pub content: CallContent,
+pub struct OutcomeUpdate {
+    pub content: RequestFingerprint,
     pub outcome: SendOutcome,
     /// Milliseconds since it was seen.
     pub age_ms: u32,
--- a/crates/gateway/src/belief/output_guess.rs
+++ b/crates/gateway/src/cluster/output_estimate.rs
@@ -7,10 +7,10 @@
 use serde::Serialize;
 
 use super::pooled_count::PooledCount;
-use super::pooled_count::is_sound;
+use super::pooled_count::is_reliable;
 
 /// Answers needed before their length is believed.
-const LEAST_ANSWERS: u32 = 6;
+const MIN_ANSWERS: u32 = 6;
 /// The weight of one answer in the average, once there are enough.
 const WEIGHT: f64 = 0.05;
 /// The part of the caller's estimate, the rest being the usual length, both
@@ -28,14 +28,14 @@
 /// prompt read again. Both together are off by 1,120 tokens on the mean (3,370
 /// long), the caller's estimate alone by 1,420.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct OutputGuess {
+pub struct OutputEstimate {
     ln_mean: f64,
     /// Seconds a token takes, from the first event on.
     token_s: f64,
     answers: u32,
 }
 
-impl OutputGuess {
+impl OutputEstimate {
     /// Takes in the length of a whole answer, in tokens, and how long it took
     /// from its first event on.
     pub fn note(&mut self, tokens: u32, took: Duration) {
@@ -48,9 +48,9 @@
     }
 
     /// What this and `other` have learned, by how many answers each stands for.
-    pub fn with(&self, other: &OutputGuess) -> OutputGuess {
+    pub fn with(&self, other: &OutputEstimate) -> OutputEstimate {
         let pool = PooledCount::new(self.answers, other.answers);
-        OutputGuess {
+        OutputEstimate {
             ln_mean: pool.mean(self.ln_mean, other.ln_mean),
             token_s: pool.mean(self.token_s, other.token_s),
             answers: pool.samples,
@@ -58,14 +58,14 @@
     }
 
     /// False for what no gateway can have learned.
-    pub fn is_sound(&self) -> bool {
-        [self.ln_mean, self.token_s].into_iter().all(is_sound)
+    pub fn is_reliable(&self) -> bool {
+        [self.ln_mean, self.token_s].into_iter().all(is_reliable)
     }
 
     /// How long an answer of `tokens` takes from its first event on; zero
     /// while too little is known.
     pub fn run_time(&self, tokens: u32) -> Duration {
-        if self.answers < LEAST_ANSWERS {
+        if self.answers < MIN_ANSWERS {
             return Duration::ZERO;
         }
         Duration::from_secs_f64(self.token_s * f64::from(tokens))
@@ -74,7 +74,7 @@
     /// The tokens expected of an answer that its caller takes to have
     /// `estimate`.
     pub fn expect(&self, estimate: Option<u32>) -> Option<u32> {
-        if self.answers < LEAST_ANSWERS {
+        if self.answers < MIN_ANSWERS {
             return estimate;
         }
         let usual = self.ln_mean;
--- a/crates/gateway/src/belief/peer_loads.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -7,15 +7,15 @@
 
 use rustc_hash::FxHashMap;
 
-use super::EngineLearning;
-use super::HeardRetries;
+use super::EngineEstimates;
 use super::LimitRank;
-use super::LineNews;
-use super::OtherLines;
-use super::PeerNews;
-use super::PeerRank;
+use super::PeerQueues;
 use super::PeerReach;
-use super::PeerSums;
+use super::PeerRetries;
+use super::PeerTotals;
+use super::PeerUpdate;
+use super::QueueUpdate;
+use super::ReaderRank;
 use super::ServerSum;
 use super::ServiceSum;
 use super::rendezvous_score::rendezvous_score;
@@ -46,7 +46,7 @@
     heard_at: Instant,
     /// True while it is part of the sums.
     is_counted: bool,
-    news: PeerNews,
+    news: PeerUpdate,
 }
 
 impl PeerReport {
@@ -67,7 +67,7 @@
 /// What a peer has learned, by service.
 #[derive(Debug)]
 struct PeerLearning {
-    learned: Vec<(u64, EngineLearning)>,
+    learned: Vec<(u64, EngineEstimates)>,
     heard_at: Instant,
 }
 
@@ -77,9 +77,9 @@
 /// the sums when the next report comes or at the next tick; until then a look
 /// at the sums subtracts them, so that what is read is exact at any moment.
 #[derive(Debug, Default)]
-pub struct PeerLoads {
+pub struct PeerReports {
     reports: FxHashMap<PeerDigest, PeerReport>,
-    sums: PeerSums,
+    sums: PeerTotals,
     /// Invariant: all reports in the sums, those of one life in one queue, oldest
     /// first; some entries stand for reports that newer ones have replaced.
     by_age: [VecDeque<HeardReport>; 2],
@@ -91,7 +91,7 @@
     server_looks: Cell<u64>,
 }
 
-impl PeerLoads {
+impl PeerReports {
     /// Takes in a report; false when it is older than the one known.
     ///
     /// Guards against datagrams that overtake each other: an older count
@@ -101,7 +101,7 @@
         peer: &str,
         incarnation: u64,
         sequence: u64,
-        news: PeerNews,
+        news: PeerUpdate,
         now: Instant,
     ) -> bool {
         let peer = server_digest(peer);
@@ -148,15 +148,15 @@
     }
 
     /// What live reports say of repeats to the service with `digest`.
-    pub fn retries(&self, digest: u64, now: Instant) -> HeardRetries {
-        HeardRetries { gateways: self.heard(now), count: self.service(digest, now).retries() }
+    pub fn retries(&self, digest: u64, now: Instant) -> PeerRetries {
+        PeerRetries { gateways: self.heard(now), count: self.service(digest, now).retries() }
     }
 
     /// How many requests for the service with `digest` may take room at other
     /// gateways before the first of `own`. Of a line whose first can be on time
     /// that one alone: the next looks for room only once it has been told of. Of
     /// one whose first is late, all: those have waited their turn.
-    pub fn waiting_before(&self, digest: u64, own: &LineNews, now: Instant) -> usize {
+    pub fn waiting_before(&self, digest: u64, own: &QueueUpdate, now: Instant) -> usize {
         if self.other_lines(digest, now).waiting == 0 {
             return 0;
         }
@@ -172,7 +172,7 @@
     }
 
     /// The lines for the service with `digest` at live peers, together.
-    pub fn other_lines(&self, digest: u64, now: Instant) -> OtherLines {
+    pub fn other_lines(&self, digest: u64, now: Instant) -> PeerQueues {
         self.service(digest, now).lines()
     }
 
@@ -194,13 +194,13 @@
     }
 
     /// The gateway named `peer` tells what it has learned, by service.
-    pub fn learn(&mut self, peer: &str, mut learned: Vec<(u64, EngineLearning)>, now: Instant) {
-        learned.retain(|(_, of)| of.is_sound());
+    pub fn learn(&mut self, peer: &str, mut learned: Vec<(u64, EngineEstimates)>, now: Instant) {
+        learned.retain(|(_, of)| of.is_reliable());
         self.learned.insert(server_digest(peer), PeerLearning { learned, heard_at: now });
     }
 
     /// What peers have learned of the service with `digest`.
-    pub fn learned(&self, digest: u64) -> impl Iterator<Item = EngineLearning> {
+    pub fn learned(&self, digest: u64) -> impl Iterator<Item = EngineEstimates> {
         let told = self.learned.values().flat_map(|peer| &peer.learned);
         told.filter(move |(service, _)| *service == digest).map(|(_, learned)| *learned)
     }
@@ -211,8 +211,8 @@
     }
 
     /// Where the gateway with digest `own` stands among those heard.
-    pub fn rank(&self, own: u64, now: Instant) -> PeerRank {
-        let mut rank = PeerRank { peers: 0, before: 0 };
+    pub fn rank(&self, own: u64, now: Instant) -> ReaderRank {
+        let mut rank = ReaderRank { peers: 0, before: 0 };
         for (peer, report) in &self.reports {
             if report.is_fresh(now) {
                 rank.peers += 1;
--- a/crates/gateway/src/belief/peer_sums.rs
+++ b/crates/gateway/src/cluster/peer_totals.rs
@@ -2,10 +2,10 @@
 
 use rustc_hash::FxHashMap;
 
-use super::LineNews;
 use super::LoadShare;
-use super::OtherLines;
-use super::PeerNews;
+use super::PeerQueues;
+use super::PeerUpdate;
+use super::QueueUpdate;
 use super::RetryCount;
 
 /// What the other gateways together tell of one server.
@@ -21,7 +21,7 @@
 
 impl ServerSum {
     /// Takes out what `news` tells of the server with `digest`.
-    pub fn remove(&mut self, news: &PeerNews, digest: u64) {
+    pub fn remove(&mut self, news: &PeerUpdate, digest: u64) {
         for (_, load) in news.loads.iter().filter(|(server, _)| *server == digest) {
             self.load = self.load.minus(load.bounded());
         }
@@ -52,8 +52,8 @@
     }
 
     /// Their waiting lines.
-    pub fn lines(&self) -> OtherLines {
-        OtherLines {
+    pub fn lines(&self) -> PeerQueues {
+        PeerQueues {
             waiting: saturated(self.waiting),
             on_time: saturated(self.on_time),
             pace: self.pace_milli as f64 / 1000.0,
@@ -62,7 +62,7 @@
     }
 
     /// Takes out what `news` tells of the service with `digest`.
-    pub fn remove(&mut self, news: &PeerNews, digest: u64) {
+    pub fn remove(&mut self, news: &PeerUpdate, digest: u64) {
         let is_this = |service: &u64| *service == digest;
         for (_, count) in news.retries.iter().filter(|(service, _)| is_this(service)) {
             self.remove_retries(*count);
@@ -82,14 +82,14 @@
         self.repeats -= u64::from(count.repeats);
     }
 
-    fn add_line(&mut self, line: LineNews) {
+    fn add_line(&mut self, line: QueueUpdate) {
         self.waiting += u64::from(line.waiting);
         self.on_time += u64::from(line.on_time);
         self.pace_milli += u64::from(line.pace_milli);
         self.arrivals_milli += u64::from(line.arrivals_milli);
     }
 
-    fn remove_line(&mut self, line: LineNews) {
+    fn remove_line(&mut self, line: QueueUpdate) {
         self.waiting -= u64::from(line.waiting);
         self.on_time -= u64::from(line.on_time);
         self.pace_milli -= u64::from(line.pace_milli);
@@ -109,12 +109,12 @@
 ///
 /// Invariant: equal to the sum over all reports added and not removed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct PeerSums {
+pub struct PeerTotals {
     servers: FxHashMap<u64, ServerSum>,
     services: FxHashMap<u64, ServiceSum>,
 }
 
-impl PeerSums {
+impl PeerTotals {
     /// What is told of the server with `digest`.
     pub fn server(&self, digest: u64) -> ServerSum {
         self.servers.get(&digest).copied().unwrap_or_default()
@@ -126,7 +126,7 @@
     }
 
     /// Counts a report.
-    pub fn add(&mut self, news: &PeerNews) {
+    pub fn add(&mut self, news: &PeerUpdate) {
         for (server, load) in &news.loads {
             let sum = self.servers.entry(*server).or_default();
             sum.load = sum.load.plus(load.bounded());
@@ -146,7 +146,7 @@
     }
 
     /// Takes out a report that was counted.
-    pub fn remove(&mut self, news: &PeerNews) {
+    pub fn remove(&mut self, news: &PeerUpdate) {
         for (server, load) in &news.loads {
             self.change_server(*server, |sum| sum.load = sum.load.minus(load.bounded()));
         }
--- a/crates/gateway/src/belief/peer_news.rs
+++ b/crates/gateway/src/cluster/peer_update.rs
@@ -7,8 +7,8 @@
 use smallvec::SmallVec;
 use strum::IntoStaticStr;
 
-use super::LineNews;
 use super::LoadShare;
+use super::QueueUpdate;
 use super::RetryCount;
 use crate::model::ConfigVersion;
 
@@ -38,7 +38,7 @@
 
 /// What one report says. Servers and services are named by their digests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct PeerNews {
+pub struct PeerUpdate {
     pub reach: PeerReach,
     /// Work at each server that has any.
     pub loads: Vec<(u64, LoadShare)>,
@@ -47,7 +47,7 @@
     /// Servers the peer passes over.
     pub aside: SmallVec<[u64; 4]>,
     /// Requests that wait for engines' room, by service.
-    pub lines: SmallVec<[(u64, LineNews); 1]>,
+    pub lines: SmallVec<[(u64, QueueUpdate); 1]>,
     /// For how long the peer has read the servers' table without an outage.
     pub store_calm: Duration,
     /// Engines that the peer has told to change their stage.
@@ -56,9 +56,9 @@
     pub config: ConfigVersion,
 }
 
-impl PeerNews {
+impl PeerUpdate {
     /// The peer's line for the service with `digest`.
-    pub fn line(&self, digest: u64) -> Option<LineNews> {
+    pub fn line(&self, digest: u64) -> Option<QueueUpdate> {
         self.lines.iter().find(|(service, _)| *service == digest).map(|(_, line)| *line)
     }
 }
--- a/crates/gateway/src/belief/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -6,7 +6,7 @@
 
 use super::Fleet;
 use super::LoadShare;
-use super::ServerBelief;
+use super::ServerState;
 use super::candidate::Candidate;
 use super::candidate::FULL_MS;
 use super::candidate::PREFILL_TOKENS_PER_MS;
@@ -15,8 +15,8 @@
 use super::candidate::given_out;
 use super::candidate::open_candidates;
 use super::candidate::well_or_all;
-use super::domain_readers::DomainReaders;
-use super::domain_readers::transfer_cost;
+use super::domain_prefill_servers::DomainPrefillServers;
+use super::domain_prefill_servers::transfer_cost;
 use super::rendezvous_score::rendezvous_score;
 use crate::model::DomainKey;
 use crate::model::EngineSpec;
@@ -38,7 +38,7 @@
 
 /// What a placement must respect.
 #[derive(Debug)]
-pub struct PlaceNeed<'a> {
+pub struct PlacementRequest<'a> {
     pub service: &'a str,
     /// This gateway's digest; gateways differ in which of equal servers they
     /// prefer.
@@ -53,7 +53,7 @@
 /// Why no server was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum PlaceRefusal {
+pub enum PlacementError {
     /// The service has no server that takes work.
     NoServer,
     /// All that take work are full.
@@ -62,14 +62,14 @@
 
 /// A server chosen for a plain call.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PlainPlace {
+pub struct PlainPlacement {
     pub server: ServerKey,
     pub cost: f64,
 }
 
 /// The servers chosen for a stream.
 #[derive(Debug, Clone, PartialEq)]
-pub struct EnginePlace {
+pub struct EnginePlacement {
     pub decode: ServerKey,
     /// Reads the prompt; `None` when the decode server is to do so.
     pub prefill: Option<ServerKey>,
@@ -78,15 +78,18 @@
 
 /// The server for a call to a plain service: the least loaded, weighed with
 /// how it has fared and how far it is.
-pub fn place_plain(fleet: &Fleet, need: &PlaceNeed<'_>) -> Result<PlainPlace, PlaceRefusal> {
+pub fn place_plain(
+    fleet: &Fleet,
+    need: &PlacementRequest<'_>,
+) -> Result<PlainPlacement, PlacementError> {
     let cost = |candidate: &Candidate<'_>| {
-        let entry = &candidate.belief.entry;
+        let entry = &candidate.server_state.entry;
         let filled = f64::from(candidate.load().running + 1) / f64::from(entry.slots.max(1));
         let distance = if entry.domain == *need.domain { 0.0 } else { AWAY_WEIGHT };
         filled + candidate.failure_cost + distance
     };
     let (server, cost) = cheapest(&candidates(fleet, need, |_| true), cost)?;
-    Ok(PlainPlace { server, cost })
+    Ok(PlainPlacement { server, cost })
 }
 
 /// The decode server with room for `shape`, and the prefill server to read
@@ -100,40 +103,40 @@
     spec: &EngineSpec,
     shape: &PromptShape,
     ahead: usize,
-    need: &PlaceNeed<'_>,
-) -> Result<EnginePlace, PlaceRefusal> {
+    need: &PlacementRequest<'_>,
+) -> Result<EnginePlacement, PlacementError> {
     let can_decode =
-        |candidate: &Candidate<'_>| candidate.belief.entry.stage != ServerStage::Prefill;
+        |candidate: &Candidate<'_>| candidate.server_state.entry.stage != ServerStage::Prefill;
     let mut engines = open_candidates(fleet, need, |_| true);
     if !engines.iter().any(can_decode) {
-        return Err(PlaceRefusal::NoServer);
+        return Err(PlacementError::NoServer);
     }
     engines.retain(|candidate| candidate.may_send);
     let decodes = well_or_all(&engines, need.now, |stage| stage != ServerStage::Prefill);
     let prompt_ms = f64::from(shape.prompt_tokens) / PREFILL_TOKENS_PER_MS;
     let reading_cost =
-        |reader: &Candidate<'_>| reader.reading_cost() + dislike(need, reader.belief) * prompt_ms;
+        |cand: &Candidate<'_>| cand.reading_cost() + dislike(need, cand.server_state) * prompt_ms;
     let readers = well_or_all(&engines, need.now, |stage| stage == ServerStage::Prefill);
-    let readers = DomainReaders::new(&readers, reading_cost);
+    let readers = DomainPrefillServers::new(&readers, reading_cost);
     let longest_queue = (f64::from(shape.prompt_tokens) * READS_ITSELF_TIMES) as u32;
     let stream_fill = LoadShare::of_stream(shape).peak_tokens() / given_out(spec);
     let mut places: SmallVec<[(f64, usize); 32]> = SmallVec::new();
     for (at, decode) in decodes.iter().enumerate() {
         let Some(fill) = decode.room(spec, shape) else { continue };
-        let fill = fill + dislike(need, decode.belief) * stream_fill;
+        let fill = fill + dislike(need, decode.server_state) * stream_fill;
         let decode_cost = (fill + decode.failure_cost) * FULL_MS;
-        let reader = readers.near(&decode.belief.entry.domain, longest_queue);
+        let reader = readers.near(&decode.server_state.entry.domain, longest_queue);
         let reader_cost = reader.map_or(prompt_ms * READS_ITSELF_TIMES, |(_, cost)| cost);
         places.push((decode_cost + reader_cost, at));
     }
     if ahead >= places.len() {
-        return Err(PlaceRefusal::NoRoom);
+        return Err(PlacementError::NoRoom);
     }
     let by_cost = |left: &(f64, usize), right: &(f64, usize)| left.0.total_cmp(&right.0);
     let (_, &mut (cost, at), _) = places.select_nth_unstable_by(ahead, by_cost);
-    let decode = &decodes[at].belief.entry;
+    let decode = &decodes[at].server_state.entry;
     let prefill = readers.near(&decode.domain, longest_queue).map(|(server, _)| server.clone());
-    Ok(EnginePlace { decode: decode.server.clone(), prefill, cost })
+    Ok(EnginePlacement { decode: decode.server.clone(), prefill, cost })
 }
 
 /// A decode server for a stream that must go on elsewhere; one without
@@ -142,8 +145,8 @@
     fleet: &Fleet,
     spec: &EngineSpec,
     shape: &PromptShape,
-    need: &PlaceNeed<'_>,
-) -> Result<ServerKey, PlaceRefusal> {
+    need: &PlacementRequest<'_>,
+) -> Result<ServerKey, PlacementError> {
     let decodes = candidates(fleet, need, |stage| stage != ServerStage::Prefill);
     let cost = |candidate: &Candidate<'_>| {
         candidate.room(spec, shape).unwrap_or(2.0) + candidate.failure_cost
@@ -155,11 +158,11 @@
 pub fn place_prefill(
     fleet: &Fleet,
     domain: &DomainKey,
-    need: &PlaceNeed<'_>,
-) -> Result<ServerKey, PlaceRefusal> {
+    need: &PlacementRequest<'_>,
+) -> Result<ServerKey, PlacementError> {
     let prefills = candidates(fleet, need, |stage| stage == ServerStage::Prefill);
     let cost = |candidate: &Candidate<'_>| {
-        candidate.reading_cost() + transfer_cost(&candidate.belief.entry.domain, domain)
+        candidate.reading_cost() + transfer_cost(&candidate.server_state.entry.domain, domain)
     };
     cheapest(&prefills, cost).map(|(server, _)| server)
 }
@@ -172,6 +175,6 @@
 /// looks emptiest. Of 79 gateways' placements within 30 ms of each other a
 /// third met at one server of 39; its prompts queued and its memory ran out.
 /// A server that is less loaded by one request still goes first.
-fn dislike(need: &PlaceNeed<'_>, belief: &ServerBelief) -> f64 {
-    f64::from(rendezvous_score(need.gateway, belief.incarnation)) / f64::from(u32::MAX)
+fn dislike(need: &PlacementRequest<'_>, server_state: &ServerState) -> f64 {
+    f64::from(rendezvous_score(need.gateway, server_state.incarnation)) / f64::from(u32::MAX)
 }
--- a/crates/gateway/src/belief/pooled_count.rs
+++ b/crates/gateway/src/cluster/pooled_count.rs
@@ -2,7 +2,7 @@
 
 /// The most samples that one gateway's mean stands for, however many it has
 /// seen: its means forget, the slowest of them within about as many.
-const MOST_SAMPLES: u32 = 20;
+const MAX_SAMPLES: u32 = 20;
 
 /// How much of a pool of means one more of them makes out.
 #[derive(Debug, Clone, Copy)]
@@ -15,7 +15,7 @@
 impl PooledCount {
     /// A mean of `theirs` samples joins a pool that stands for `ours`.
     pub fn new(ours: u32, theirs: u32) -> Self {
-        let theirs = theirs.min(MOST_SAMPLES);
+        let theirs = theirs.min(MAX_SAMPLES);
         let samples = ours.saturating_add(theirs);
         PooledCount { samples, part: f64::from(theirs) / f64::from(samples.max(1)) }
     }
@@ -31,7 +31,7 @@
 /// Guards against a datagram that is not a gateway's: one that is no number, or
 /// beyond all bounds, would spoil every mean it is taken into, and a time made
 /// of it would end the process.
-pub(super) fn is_sound(value: f64) -> bool {
-    const MOST: f64 = 1e15;
-    (0.0..=MOST).contains(&value)
+pub(super) fn is_reliable(value: f64) -> bool {
+    const MAX: f64 = 1e15;
+    (0.0..=MAX).contains(&value)
 }
--- a/crates/gateway/src/belief/reading_pace.rs
+++ b/crates/gateway/src/cluster/prefill_rate.rs
@@ -5,10 +5,10 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::pooled_count::is_sound;
+use super::pooled_count::is_reliable;
 
 /// Prompts needed before the pace is believed.
-const LEAST_PROMPTS: f64 = 8.0;
+const MIN_PROMPTS: f64 = 8.0;
 /// What a prompt's weight becomes with each further one: some fifty prompts
 /// are remembered, a few seconds of a busy gateway.
 const FORGETTING: f64 = 0.98;
@@ -24,7 +24,7 @@
 /// three times as busy as they were: 5,200 tokens took 200 ms on an idle engine
 /// that reads 55 in a millisecond.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct ReadingPace {
+pub struct PrefillRate {
     weight: f64,
     tokens: f64,
     millis: f64,
@@ -32,7 +32,7 @@
     tokens_millis: f64,
 }
 
-impl ReadingPace {
+impl PrefillRate {
     /// Takes in a prompt that was read: `tokens` are its own and those queued
     /// before it at its sending.
     pub fn note(&mut self, tokens: u32, took: Duration) {
@@ -46,8 +46,8 @@
     }
 
     /// What this and `other` have learned together.
-    pub fn with(&self, other: &ReadingPace) -> ReadingPace {
-        ReadingPace {
+    pub fn with(&self, other: &PrefillRate) -> PrefillRate {
+        PrefillRate {
             weight: self.weight + other.weight,
             tokens: self.tokens + other.tokens,
             millis: self.millis + other.millis,
@@ -57,15 +57,15 @@
     }
 
     /// False for what no gateway can have learned.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_reliable(&self) -> bool {
         let sums = [self.weight, self.tokens, self.millis, self.tokens_squared, self.tokens_millis];
-        sums.into_iter().all(is_sound)
+        sums.into_iter().all(is_reliable)
     }
 
     /// Milliseconds of an engine's time that a token takes; `None` while too
     /// little is known.
     pub fn millis_per_token(&self) -> Option<f64> {
-        if self.weight < LEAST_PROMPTS {
+        if self.weight < MIN_PROMPTS {
             return None;
         }
         let (tokens, millis) = (self.tokens / self.weight, self.millis / self.weight);
--- a/crates/gateway/src/belief/quarantine.rs
+++ b/crates/gateway/src/cluster/quarantine.rs
@@ -30,7 +30,7 @@
 const AGAIN_PAUSE: Duration = Duration::from_secs(1);
 /// How often a probe that told nothing is made again: its servers were full, or
 /// could not be reached.
-const MOST_AGAIN: u32 = 3;
+const MAX_AGAIN: u32 = 3;
 /// How long beyond its wait a content that nobody asks for is held back.
 const UNASKED_TIME: Duration = Duration::from_secs(600);
 
@@ -112,7 +112,7 @@
     pub fn end_probe(&mut self, now: Instant) {
         let ProbeRight::Out(tries) = self.right else { return };
         self.right = ProbeRight::None;
-        if tries < MOST_AGAIN {
+        if tries < MAX_AGAIN {
             self.right = ProbeRight::Unspent(tries + 1);
             self.claimed_until = Some(now + AGAIN_PAUSE);
         }
--- a/crates/gateway/src/belief/content_verdict.rs
+++ b/crates/gateway/src/cluster/quarantine_verdict.rs
@@ -8,7 +8,7 @@
 
 /// A content that is held back.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HeldContent {
+pub struct QuarantineStatus {
     /// Server crashes that are remembered of it.
     pub crashes: usize,
     /// Requests of it that were let through to find out more.
@@ -27,20 +27,20 @@
 
 /// May a request of a content be sent?
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ContentVerdict {
+pub enum QuarantineVerdict {
     Admitted,
-    HeldBack(HeldContent),
+    HeldBack(QuarantineStatus),
     /// One request may find out whether servers still crash under it, once its
     /// gateway has claimed that in the store.
-    ProbeDue(HeldContent),
+    ProbeDue(QuarantineStatus),
     /// The same, and this gateway has claimed it already.
-    Probe(HeldContent),
+    Probe(QuarantineStatus),
 }
 
 /// What has changed for a content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum ContentChange {
+pub enum QuarantineChange {
     /// It is held back from now on.
     HeldBack,
     /// It was held back, and is no longer.
--- a/crates/gateway/src/belief/quota_account.rs
+++ b/crates/gateway/src/cluster/quota_account.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::charge_news::ChargeNews;
-use super::charge_news::ChargeTotal;
+use super::charge_update::ChargeTotal;
+use super::charge_update::ChargeUpdate;
 use super::quota_view::QuotaView;
 use crate::model::QuotaLimit;
 
@@ -23,9 +23,9 @@
 /// The same once no other gateway was heard for longer than reports take.
 const FREE_ALONE: f64 = 1.0;
 /// The longest that a refused caller is told to wait.
-const LONGEST_RETRY_AFTER: Duration = Duration::from_secs(10);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
 /// The shortest: what is free sooner is taken by those who come meanwhile.
-const SHORTEST_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// What was charged in one slot of time.
 #[derive(Debug, Clone, Copy)]
@@ -133,7 +133,7 @@
         }
         let after = self.free_after(need - left + self.promised, now, view);
         self.promised += need;
-        Err(after.clamp(SHORTEST_RETRY_AFTER, LONGEST_RETRY_AFTER))
+        Err(after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
     /// Gives back what was charged for a request that has not run.
@@ -187,14 +187,14 @@
     }
 
     /// What this gateway has charged, where it is to be told.
-    pub fn tell(&mut self, tells_all: bool) -> Option<ChargeNews> {
+    pub fn tell(&mut self, tells_all: bool) -> Option<ChargeUpdate> {
         let is_untold = std::mem::take(&mut self.is_untold);
         (is_untold || (tells_all && self.own_total != 0)).then(|| self.news())
     }
 
     /// What this gateway has charged.
-    pub fn news(&self) -> ChargeNews {
-        ChargeNews {
+    pub fn news(&self) -> ChargeUpdate {
+        ChargeUpdate {
             total: self.own_total,
             recent: self.own_sum.max(0.0) as u64,
             asked: self.own_asked,
@@ -252,7 +252,7 @@
                 return leaves_at.saturating_duration_since(now);
             }
         }
-        LONGEST_RETRY_AFTER
+        MAX_RETRY_AFTER
     }
 
     fn fade(&mut self, now: Instant) {
--- a/crates/gateway/src/belief/quota_pool.rs
+++ b/crates/gateway/src/cluster/quota_pool.rs
@@ -6,10 +6,10 @@
 
 use rustc_hash::FxHashMap;
 
-use super::charge_news::ChargeNews;
+use super::charge_update::ChargeUpdate;
 use super::quota_account::QuotaAccount;
 use super::quota_view::QuotaView;
-use crate::model::OrganisationBook;
+use crate::model::OrganisationRegistry;
 use crate::model::QuotaLimit;
 
 /// An organisation's name as its digest: quotas are per name, whatever its keys.
@@ -32,7 +32,7 @@
 struct PeerCharges {
     incarnation: u64,
     heard_at: Instant,
-    told: FxHashMap<OrganisationDigest, ChargeNews>,
+    told: FxHashMap<OrganisationDigest, ChargeUpdate>,
 }
 
 /// The quotas of all organisations.
@@ -60,7 +60,7 @@
     /// changed.
     pub fn set_limits(
         &mut self,
-        organisations: &OrganisationBook,
+        organisations: &OrganisationRegistry,
         view: &QuotaView,
         now: Instant,
     ) -> Vec<String> {
@@ -115,7 +115,7 @@
         peer: u64,
         incarnation: u64,
         age: Duration,
-        charges: &[(OrganisationDigest, ChargeNews)],
+        charges: &[(OrganisationDigest, ChargeUpdate)],
         view: &QuotaView,
         now: Instant,
     ) {
@@ -154,7 +154,7 @@
 
     /// What a report tells of this gateway's charges: those that have changed since
     /// the last, or with `tells_all` all.
-    pub fn news(&mut self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeNews)> {
+    pub fn news(&mut self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self.accounts.iter_mut();
         let told = accounts
             .filter_map(|(organisation, account)| Some((*organisation, account.tell(tells_all)?)));
@@ -162,7 +162,7 @@
     }
 
     /// What this gateway charged within the window, for those that are told rarely.
-    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeNews)> {
+    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self.accounts.iter().map(|(organisation, of)| (*organisation, of.news()));
         accounts.filter(|(_, news)| news.recent > 0).collect()
     }
--- a/crates/gateway/src/belief/departure_pace.rs
+++ b/crates/gateway/src/cluster/rate_estimate.rs
@@ -8,7 +8,7 @@
 const AVERAGE_TIME: Duration = Duration::from_secs(3);
 /// The least share of the average that has been filled since the first
 /// departure: guards against a huge pace from a clump at the start.
-const LEAST_FILLED: f64 = 0.2;
+const MIN_FILLED: f64 = 0.2;
 
 /// A pace averaged over departures, each of which weighs the same.
 ///
@@ -17,7 +17,7 @@
 /// thousand a second. Lines of 70 were predicted to last a second and a half
 /// at a site that places 24 a second, and callers waited in vain for three.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct DeparturePace {
+pub struct RateEstimate {
     /// Departures a second as of the last one, not yet corrected for how
     /// short a time it covers.
     weight: f64,
@@ -26,7 +26,7 @@
     count: u32,
 }
 
-impl DeparturePace {
+impl RateEstimate {
     /// Notes a departure.
     pub fn note(&mut self, now: Instant) {
         let gap = self.last_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
@@ -49,7 +49,7 @@
         }
         let covered = last.saturating_duration_since(first).as_secs_f64();
         let covered = covered * f64::from(self.count) / f64::from(self.count - 1);
-        let filled = (1.0 - decay(Duration::from_secs_f64(covered))).max(LEAST_FILLED);
+        let filled = (1.0 - decay(Duration::from_secs_f64(covered))).max(MIN_FILLED);
         // Half of the last departure: the average between just before and
         // just after one.
         let pace = self.weight / filled - 0.5 / AVERAGE_TIME.as_secs_f64();
--- a/crates/gateway/src/belief/recent_whole.rs
+++ b/crates/gateway/src/cluster/recent_completions.rs
@@ -5,35 +5,35 @@
 
 use rustc_hash::FxHashSet;
 
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 
 /// How long a content is remembered, at least.
 const REMEMBERED: Duration = Duration::from_secs(30);
 /// Contents remembered in each half: 32 KB of digests. Beyond that new ones are
 /// not remembered until the next half begins; those that are asked for often
 /// are remembered early.
-const MOST_IN_HALF: usize = 4096;
+const MAX_IN_HALF: usize = 4096;
 
 /// Contents answered whole within the last 30 to 60 seconds.
 #[derive(Debug, Default)]
-pub(super) struct RecentWhole {
-    current: FxHashSet<CallContent>,
-    previous: FxHashSet<CallContent>,
+pub(super) struct RecentCompletions {
+    current: FxHashSet<RequestFingerprint>,
+    previous: FxHashSet<RequestFingerprint>,
     /// When `current` was begun.
     begun_at: Option<Instant>,
 }
 
-impl RecentWhole {
+impl RecentCompletions {
     /// Notes an answer.
-    pub fn note(&mut self, content: CallContent, now: Instant) {
+    pub fn note(&mut self, content: RequestFingerprint, now: Instant) {
         self.turn(now);
-        if self.current.len() < MOST_IN_HALF {
+        if self.current.len() < MAX_IN_HALF {
             self.current.insert(content);
         }
     }
 
     /// True when `content` was answered whole lately.
-    pub fn contains(&mut self, content: CallContent, now: Instant) -> bool {
+    pub fn contains(&mut self, content: RequestFingerprint, now: Instant) -> bool {
         self.turn(now);
         self.current.contains(&content) || self.previous.contains(&content)
     }
--- a/crates/gateway/src/belief/report_pace.rs
+++ b/crates/gateway/src/cluster/report_interval.rs
@@ -20,7 +20,7 @@
 pub const READER_PACE: Duration = Duration::from_millis(400);
 
 /// The time between two regular reports to `peers` other gateways.
-pub fn report_pace(peers: usize) -> Duration {
+pub fn report_interval(peers: usize) -> Duration {
     let every = REPORT_EVERY + REPORT_EVERY_PEER * u32::try_from(peers).unwrap_or(u32::MAX / 4);
     every.min(SLOWEST_REPORT)
 }
--- a/crates/gateway/src/belief/retry_allowance.rs
+++ b/crates/gateway/src/cluster/retry_budget.rs
@@ -9,7 +9,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::report_pace;
+use super::report_interval;
 use super::server_digest;
 use crate::model::ServiceName;
 
@@ -24,22 +24,22 @@
 
 /// What a repeated send is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RetryUse {
+pub enum RetryVerdict {
     /// Without it the request fails.
     Needed,
     /// It only makes another repeat cheaper.
     Helpful,
 }
 
-impl RetryUse {
+impl RetryVerdict {
     /// The part of the bound that may be used up for it. Helpful repeats
     /// leave the last of it for needed ones: when three engines crash at
     /// once, their streams break without. More than that buys nothing:
     /// streams read in by decode servers hold up others.
     fn part(self) -> f64 {
         match self {
-            RetryUse::Needed => 1.0,
-            RetryUse::Helpful => 0.9,
+            RetryVerdict::Needed => 1.0,
+            RetryVerdict::Helpful => 0.9,
         }
     }
 }
@@ -53,7 +53,7 @@
 
 /// What the other gateways tell of one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct HeardRetries {
+pub struct PeerRetries {
     /// Gateways that a fresh report has come from.
     pub gateways: usize,
     /// The sum of their counts.
@@ -75,7 +75,7 @@
 /// The part of a gateway that isn't heard is left to it: cut off from each
 /// other, all still stay within the bound.
 #[derive(Debug)]
-pub struct RetryAllowance {
+pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
@@ -84,11 +84,11 @@
     counts: HashMap<ServiceName, VecDeque<Bucket>>,
 }
 
-impl RetryAllowance {
+impl RetryBudget {
     /// An allowance of `ratio` of the requests plus `slack`, over all
     /// gateways, in any `window`.
     pub fn new(ratio: f64, slack: f64, window: Duration, now: Instant) -> Self {
-        RetryAllowance { ratio, slack, window, begun: now, counts: HashMap::new() }
+        RetryBudget { ratio, slack, window, begun: now, counts: HashMap::new() }
     }
 
     /// Counts a caller's request for `service`.
@@ -112,8 +112,8 @@
         &mut self,
         service: &ServiceName,
         members: usize,
-        heard: HeardRetries,
-        use_for: RetryUse,
+        heard: PeerRetries,
+        use_for: RetryVerdict,
         now: Instant,
     ) -> bool {
         let own = self.count(service, now);
@@ -141,7 +141,7 @@
         left: f64,
         now: Instant,
     ) -> bool {
-        let lag = report_pace(members) * LAG_REPORTS;
+        let lag = report_interval(members) * LAG_REPORTS;
         let recent = self.counts.get(service).map_or(0, |buckets| {
             let is_recent = |bucket: &&Bucket| now.saturating_duration_since(bucket.begun) < lag;
             buckets.iter().filter(is_recent).map(|bucket| bucket.count.repeats).sum()
--- a/crates/gateway/src/belief/row_change.rs
+++ b/crates/gateway/src/cluster/row_change.rs
@@ -1,6 +1,6 @@
 //! Rows of the store that are to be written or removed.
 
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
 /// What is to be done with a content's row in the store.
@@ -8,7 +8,7 @@
 pub enum RowChange {
     /// It is held back: gateways that hear nobody and those that start are to
     /// know.
-    Write(CallContent),
+    Write(RequestFingerprint),
     /// It is held back no more.
-    Remove(CallContent, StoreVersion),
+    Remove(RequestFingerprint, StoreVersion),
 }
--- a/crates/gateway/src/belief/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxHashMap;
 
-use super::BackoffNews;
+use super::BackoffUpdate;
 use super::IncarnationTable;
 use super::news_sample::sample;
 use crate::model::ServerIncarnation;
@@ -14,10 +14,10 @@
 const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
 /// Maximum number of backoffs in a report. Limits them to a quarter of the maximum datagram
 /// size.
-const MOST_TOLD: usize = 80;
+const MAX_TOLD: usize = 80;
 /// Maximum number of gateways per server. Bounds memory, since backoffs reported by other
 /// gateways are not verified.
-const MOST_GATEWAYS: usize = 1024;
+const MAX_GATEWAYS: usize = 1024;
 
 /// The backoff of one gateway from one server incarnation.
 #[derive(Debug, Clone, Copy)]
@@ -51,7 +51,7 @@
         };
         let known = gateways.get(&gateway);
         let is_later = known.is_none_or(|known| known.until < until);
-        if !is_later || (known.is_none() && gateways.len() >= MOST_GATEWAYS) {
+        if !is_later || (known.is_none() && gateways.len() >= MAX_GATEWAYS) {
             return false;
         }
         gateways.insert(gateway, ServerBackoff { until, changed_at: now });
@@ -71,7 +71,7 @@
         own: u64,
         tells_all_of: impl Fn(u64) -> bool,
         now: Instant,
-    ) -> Vec<BackoffNews> {
+    ) -> Vec<BackoffUpdate> {
         let is_told = |gateway: u64, backoff: &ServerBackoff| {
             let is_recent = now.saturating_duration_since(backoff.changed_at) < CHANGE_TOLD_FOR;
             now < backoff.until && (tells_all_of(gateway) || (gateway == own && is_recent))
@@ -83,9 +83,9 @@
         let news = told.map(|(server, gateway, backoff)| {
             let left = backoff.until.saturating_duration_since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
-            BackoffNews { server, gateway, left_ms }
+            BackoffUpdate { server, gateway, left_ms }
         });
-        sample(news.collect(), MOST_TOLD)
+        sample(news.collect(), MAX_TOLD)
     }
 
     /// Removes backoffs that have ended, and servers that have been unlisted for the
--- a/crates/gateway/src/belief/server_departures.rs
+++ b/crates/gateway/src/cluster/server_departures.rs
@@ -11,7 +11,7 @@
 const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
 /// Maximum number of departures in a report. Limits them to an eighth of the maximum datagram
 /// size.
-const MOST_TOLD: usize = 96;
+const MAX_TOLD: usize = 96;
 
 /// The server incarnations that have stated that they are leaving. A departure is never
 /// withdrawn.
@@ -33,7 +33,7 @@
     pub fn news(&self, tells_all: bool, now: Instant) -> Vec<ServerIncarnation> {
         let is_recent = |since: &Instant| now.saturating_duration_since(*since) < CHANGE_TOLD_FOR;
         let told = self.known_since.iter().filter(|(_, since)| tells_all || is_recent(since));
-        sample(told.map(|(server, _)| server).collect(), MOST_TOLD)
+        sample(told.map(|(server, _)| server).collect(), MAX_TOLD)
     }
 
     pub fn contains(&self, server: ServerIncarnation) -> bool {
--- a/crates/gateway/src/belief/server_health.rs
+++ b/crates/gateway/src/cluster/server_health.rs
@@ -33,7 +33,7 @@
 /// Set aside after one connection failure, doubled with each in a row.
 const FIRST_PAUSE: Duration = Duration::from_millis(400);
 /// The longest a server is set aside before the next request tries it.
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const MAX_PAUSE: Duration = Duration::from_secs(3);
 /// How long a probe may take before another is sent.
 const PROBE_TIME: Duration = Duration::from_millis(1500);
 /// How long after a garbled answer its connections are used only once.
@@ -83,7 +83,7 @@
     /// that doubles, then one request finds out.
     fn set_aside(&mut self, now: Instant) {
         let doublings = self.failures_in_a_row.min(4);
-        let pause = (FIRST_PAUSE * 2u32.pow(doublings)).min(LONGEST_PAUSE);
+        let pause = (FIRST_PAUSE * 2u32.pow(doublings)).min(MAX_PAUSE);
         self.failures_in_a_row += 1;
         self.aside_until = Some(now + pause);
         self.probed_until = None;
--- a/crates/gateway/src/belief/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use super::IncarnationTable;
-use super::LimitNews;
+use super::LimitUpdate;
 use super::TokenBucket;
 use super::news_sample::sample;
 use crate::model::RequestRate;
@@ -15,7 +15,7 @@
 const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
 
 /// Maximum number of limits in a report; they take up at most a quarter of a datagram.
-const MOST_TOLD: usize = 96;
+const MAX_TOLD: usize = 96;
 
 /// The last known limit of one server incarnation.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
 
     /// Applies a limit reported by another gateway unless a newer one is known, and returns
     /// the change, if any.
-    pub fn hear(&mut self, news: LimitNews, now: Instant) -> Option<ServerLimitChange> {
+    pub fn hear(&mut self, news: LimitUpdate, now: Instant) -> Option<ServerLimitChange> {
         let age = Duration::from_millis(u64::from(news.age_ms));
         let updated_at = now.checked_sub(age)?;
         let is_newer =
@@ -85,17 +85,17 @@
     }
 
     /// The limits that a report includes: recent changes, or with `tells_all` every entry,
-    /// lifted limits included. If there are more than [`MOST_TOLD`], a random sample.
-    pub fn news(&self, tells_all: bool, now: Instant) -> Vec<LimitNews> {
+    /// lifted limits included. If there are more than [`MAX_TOLD`], a random sample.
+    pub fn news(&self, tells_all: bool, now: Instant) -> Vec<LimitUpdate> {
         let is_recent =
             |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < CHANGE_TOLD_FOR;
         let told = self.limits.iter().filter(|(_, limit)| tells_all || is_recent(limit));
         let news = told.map(|(server, limit)| {
             let age = now.saturating_duration_since(limit.updated_at);
             let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
-            LimitNews { server, rate: limit.rate, age_ms }
+            LimitUpdate { server, rate: limit.rate, age_ms }
         });
-        sample(news.collect(), MOST_TOLD)
+        sample(news.collect(), MAX_TOLD)
     }
 
     /// The last known limit of `server`; `None` if it never stated one or lifted it.
--- a/crates/gateway/src/belief/server_shards.rs
+++ b/crates/gateway/src/cluster/server_shards.rs
@@ -1,9 +1,9 @@
 //! Which servers a gateway sends work to where there are many of both (sharding).
 
 /// Gateways that share a shard at least: enough that losing some changes little.
-const LEAST_GATEWAYS: usize = 32;
+const MIN_GATEWAYS: usize = 32;
 /// Servers of a service in a shard at least: enough that few are the busiest.
-const LEAST_SERVERS: usize = 32;
+const MIN_SERVERS: usize = 32;
 /// Gateways from which on servers are sharded. Below that all tell each other at
 /// once, and each may use every server.
 const SHARDED_FROM: usize = 120;
@@ -18,7 +18,7 @@
     if gateways < SHARDED_FROM {
         return 1;
     }
-    let most = (gateways / LEAST_GATEWAYS).min(servers / LEAST_SERVERS).max(1);
+    let most = (gateways / MIN_GATEWAYS).min(servers / MIN_SERVERS).max(1);
     1 << most.ilog2()
 }
 
--- a/crates/gateway/src/belief/server_belief.rs
+++ b/crates/gateway/src/cluster/server_state.rs
@@ -2,15 +2,15 @@
 
 use std::time::Instant;
 
-use crate::belief::LoadShare;
-use crate::belief::ServerHealth;
+use crate::cluster::LoadShare;
+use crate::cluster::ServerHealth;
 use crate::model::ServerEntry;
 use crate::model::ServerIncarnation;
 use crate::model::StoreVersion;
 
 /// One server: its registration, our own work there, and its record.
 #[derive(Debug, Clone)]
-pub struct ServerBelief {
+pub struct ServerState {
     pub entry: ServerEntry,
     /// The version of the row `entry` was read from.
     pub version: StoreVersion,
@@ -29,10 +29,10 @@
     pub outdated_until: Option<Instant>,
 }
 
-impl ServerBelief {
+impl ServerState {
     /// What is believed of a server that has just become known.
     pub fn new(entry: ServerEntry, version: StoreVersion) -> Self {
-        ServerBelief {
+        ServerState {
             incarnation: entry.incarnation(),
             entry,
             version,
--- a/crates/gateway/src/belief/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -5,13 +5,13 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::ReadingPace;
+use super::PrefillRate;
 use super::pooled_count::PooledCount;
-use super::pooled_count::is_sound;
+use super::pooled_count::is_reliable;
 use crate::model::EngineSpec;
 
 /// Streams needed before their mean is believed.
-const LEAST_STREAMS: u32 = 8;
+const MIN_STREAMS: u32 = 8;
 /// The weight of one stream in the mean, once there are enough.
 const WEIGHT: f64 = 0.05;
 /// Readers are kept at this share of their time when engines that generate are
@@ -33,7 +33,7 @@
 /// What a stream takes of either stage does not depend on how many come.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageBalance {
-    pub reading: ReadingPace,
+    pub reading: PrefillRate,
     /// Tokens of a mean prompt.
     prompt_tokens: f64,
     /// Seconds that a mean stream stays at an engine that generates.
@@ -69,15 +69,15 @@
     }
 
     /// False for what no gateway can have learned.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_reliable(&self) -> bool {
         let means = [self.prompt_tokens, self.stay_s, self.token_s];
-        means.into_iter().all(is_sound) && self.reading.is_sound()
+        means.into_iter().all(is_reliable) && self.reading.is_reliable()
     }
 
     /// The engines of `engines` that should read prompts so that both stages
     /// are full at the same load; `None` while too little is known.
     pub fn wanted_readers(&self, engines: usize, spec: &EngineSpec) -> Option<usize> {
-        if self.streams < LEAST_STREAMS {
+        if self.streams < MIN_STREAMS {
             return None;
         }
         let read_s = self.prompt_tokens * self.reading.millis_per_token()? / 1000.0;
--- a/crates/gateway/src/belief/stage_watch.rs
+++ b/crates/gateway/src/cluster/stage_watch.rs
@@ -18,8 +18,8 @@
 const WAITING_TIME: Duration = Duration::from_millis(600);
 /// The least part of a service's engines that reads prompts, and the least
 /// number: a failure domain may fail.
-const LEAST_PART: f64 = 0.12;
-const LEAST_PREFILL: usize = 3;
+const MIN_PART: f64 = 0.12;
+const MIN_PREFILL: usize = 3;
 /// Where more than this part of the readers is not wanted for this long, they
 /// change also while nobody waits: engines are away for some 6 s, longer than
 /// most bursts last, so whoever waits for the burst gets its room after it.
@@ -34,7 +34,7 @@
 
 /// One look at a service's engines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StageLook {
+pub struct StageSnapshot {
     pub prefill: usize,
     /// Prompt readers that have any work.
     pub prefill_busy: usize,
@@ -46,7 +46,7 @@
     pub wanted: Option<usize>,
 }
 
-impl StageLook {
+impl StageSnapshot {
     /// Engines of either stage.
     pub fn engines(&self) -> usize {
         self.prefill + self.decode
@@ -80,7 +80,7 @@
 
 impl StageWatch {
     /// Takes in a look, and says what should change.
-    pub fn look(&mut self, look: StageLook, now: Instant) -> Option<StageChange> {
+    pub fn look(&mut self, look: StageSnapshot, now: Instant) -> Option<StageChange> {
         self.average(look, now);
         let is_overloaded = self.busy > OVERLOAD_SHARE * look.prefill as f64;
         keep_since(&mut self.waiting_since, look.waiting > 0, now);
@@ -110,7 +110,7 @@
         self.rest_until = Some(now + REST_TIME);
     }
 
-    fn average(&mut self, look: StageLook, now: Instant) {
+    fn average(&mut self, look: StageSnapshot, now: Instant) {
         let gap = self.looked_at.map_or(AVERAGE_TIME, |at| now.saturating_duration_since(at));
         let weight = (gap.as_secs_f64() / AVERAGE_TIME.as_secs_f64()).min(1.0);
         self.busy += (look.prefill_busy as f64 - self.busy) * weight;
@@ -118,9 +118,9 @@
     }
 }
 
-fn least_prefill(look: StageLook) -> usize {
-    let part = LEAST_PART * look.engines() as f64;
-    LEAST_PREFILL.max(part.ceil() as usize)
+fn least_prefill(look: StageSnapshot) -> usize {
+    let part = MIN_PART * look.engines() as f64;
+    MIN_PREFILL.max(part.ceil() as usize)
 }
 
 fn keep_since(since: &mut Option<Instant>, holds: bool, now: Instant) {
@@ -132,15 +132,15 @@
 }
 
 /// A look at the engines of `service`, for which `waiting` requests wait.
-pub fn stage_look(fleet: &Fleet, service: &str, waiting: usize, now: Instant) -> StageLook {
-    let mut look = StageLook { prefill: 0, prefill_busy: 0, decode: 0, waiting, wanted: None };
-    for (belief, others) in fleet.open_servers(service, now) {
-        match belief.entry.stage {
+pub fn stage_snapshot(fleet: &Fleet, service: &str, waiting: usize, now: Instant) -> StageSnapshot {
+    let mut look = StageSnapshot { prefill: 0, prefill_busy: 0, decode: 0, waiting, wanted: None };
+    for (server_state, others) in fleet.open_servers(service, now) {
+        match server_state.entry.stage {
             ServerStage::Plain => {}
             ServerStage::Decode => look.decode += 1,
             ServerStage::Prefill => {
                 look.prefill += 1;
-                look.prefill_busy += usize::from(belief.own.plus(others.load).running > 0);
+                look.prefill_busy += usize::from(server_state.own.plus(others.load).running > 0);
             }
         }
     }
@@ -149,7 +149,7 @@
 
 /// The engines of `service` to change: the idlest, one by one from the
 /// failure domain that has most of them left, so that no domain loses all.
-pub fn stage_choice(
+pub fn choose_stage_change(
     fleet: &Fleet,
     service: &str,
     change: StageChange,
@@ -161,11 +161,11 @@
     };
     let mut left: Vec<(u32, DomainKey, ServerKey)> = fleet
         .open_servers(service, now)
-        .filter(|(belief, _)| belief.entry.stage == from)
-        .filter(|(belief, _)| !belief.health.is_aside(now))
-        .map(|(belief, others)| {
-            let running = belief.own.plus(others.load).running;
-            (running, belief.entry.domain.clone(), belief.entry.server.clone())
+        .filter(|(server_state, _)| server_state.entry.stage == from)
+        .filter(|(server_state, _)| !server_state.health.is_aside(now))
+        .map(|(server_state, others)| {
+            let running = server_state.own.plus(others.load).running;
+            (running, server_state.entry.domain.clone(), server_state.entry.server.clone())
         })
         .collect();
     left.sort();
--- a/crates/gateway/src/belief/read_roster.rs
+++ b/crates/gateway/src/cluster/table_readers.rs
@@ -12,7 +12,7 @@
 const READERS: usize = 3;
 /// With fewer other gateways than this each reads for itself: three of eight
 /// reading twice as often save little.
-const LEAST_PEERS: usize = 8;
+const MIN_PEERS: usize = 8;
 /// The part of a table's bound for which another's reading counts as fresh.
 /// What is left is for a read of one's own: a call may wait 0.9 s for its
 /// answer, and bounds are two seconds or more.
@@ -33,7 +33,7 @@
 
 /// One gateway's own reading of a table, as it tells the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadNotice {
+pub struct ReaderNotice {
     pub fingerprint: TableFingerprint,
     /// When the store answered it.
     pub read_at: Instant,
@@ -43,7 +43,7 @@
 
 /// A gateway among those it hears.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PeerRank {
+pub struct ReaderRank {
     /// Other gateways heard.
     pub peers: usize,
     /// Those of them with a lesser digest.
@@ -52,7 +52,7 @@
 
 /// What a gateway does next about a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadTurn {
+pub enum ReadRole {
     /// It reads the store, for itself or for all.
     Own,
     /// What others tell holds; it looks again then.
@@ -66,11 +66,11 @@
 /// agreed on and nothing is kept: whoever isn't told in time reads for itself,
 /// so frozen, cut off or lying readers cost calls and delay within the bound.
 #[derive(Debug)]
-pub struct ReadRoster {
+pub struct TableReaders {
     own: u64,
     /// How soon a change must be known.
     bound: Duration,
-    notices: FxHashMap<u64, ReadNotice>,
+    notices: FxHashMap<u64, ReaderNotice>,
     /// Of the content held here.
     fingerprint: TableFingerprint,
     /// The content held here was the store's at this time: by a read of our
@@ -87,10 +87,10 @@
     draw: f64,
 }
 
-impl ReadRoster {
+impl TableReaders {
     /// The roster at the gateway with digest `own`, that has read nothing yet.
     pub fn new(own: u64, bound: Duration, draw: f64) -> Self {
-        ReadRoster {
+        TableReaders {
             own,
             bound,
             notices: FxHashMap::default(),
@@ -136,7 +136,7 @@
     }
 
     /// The gateway with digest `peer` has read the store.
-    pub fn hear(&mut self, peer: u64, notice: ReadNotice) {
+    pub fn hear(&mut self, peer: u64, notice: ReaderNotice) {
         self.notices.insert(peer, notice);
         if notice.fingerprint == self.fingerprint && self.known_at.is_some() {
             self.known_at = self.known_at.max(Some(notice.read_at));
@@ -144,17 +144,17 @@
     }
 
     /// What to do now.
-    pub fn turn(&mut self, rank: PeerRank, now: Instant) -> ReadTurn {
+    pub fn turn(&mut self, rank: ReaderRank, now: Instant) -> ReadRole {
         let fresh_time = self.fresh_time();
         self.notices.retain(|_, notice| is_within(notice.read_at, fresh_time, now));
         let Some(known_at) = self.known_at else { return self.read_for_all() };
         let lapses_at = known_at + fresh_time + self.bound.mul_f64(SPREAD_PART * self.draw);
-        if rank.peers < LEAST_PEERS || now >= lapses_at {
+        if rank.peers < MIN_PEERS || now >= lapses_at {
             return self.read_for_all();
         }
         if self.is_reader {
             if self.before() < READERS {
-                return ReadTurn::Own;
+                return ReadRole::Own;
             }
             self.is_reader = false;
         }
@@ -174,7 +174,7 @@
                 return self.read_for_all();
             }
         }
-        ReadTurn::Told { until: lapses_at.min(now + LOOK_PAUSE) }
+        ReadRole::Told { until: lapses_at.min(now + LOOK_PAUSE) }
     }
 
     /// True when this gateway is one of the few that tell all others of rows.
@@ -185,15 +185,15 @@
     /// Other readers that should read rather than this one.
     fn before(&self) -> usize {
         let own = (self.is_heavy, self.own);
-        let is_before = |(peer, of): &(&u64, &ReadNotice)| (of.is_heavy, **peer) < own;
+        let is_before = |(peer, of): &(&u64, &ReaderNotice)| (of.is_heavy, **peer) < own;
         self.notices.iter().filter(is_before).count()
     }
 
     /// What the others are told, while this gateway reads for all.
-    pub fn own_notice(&self, now: Instant) -> Option<ReadNotice> {
+    pub fn own_notice(&self, now: Instant) -> Option<ReaderNotice> {
         let read_at = self.read_at.filter(|at| is_within(*at, self.fresh_time(), now))?;
         let (fingerprint, is_heavy) = (self.fingerprint, self.is_heavy);
-        self.is_reader.then_some(ReadNotice { fingerprint, read_at, is_heavy })
+        self.is_reader.then_some(ReaderNotice { fingerprint, read_at, is_heavy })
     }
 
     /// Other gateways that have lately told of a read of theirs.
@@ -208,14 +208,14 @@
 
     /// True when gateways read for each other: those that read do so twice as
     /// often then, which makes what all know younger for a few calls more.
-    pub fn is_shared(rank: PeerRank) -> bool {
-        rank.peers >= LEAST_PEERS
+    pub fn is_shared(rank: ReaderRank) -> bool {
+        rank.peers >= MIN_PEERS
     }
 
-    fn read_for_all(&mut self) -> ReadTurn {
+    fn read_for_all(&mut self) -> ReadRole {
         self.is_reader = true;
         self.short_since = None;
-        ReadTurn::Own
+        ReadRole::Own
     }
 
     fn fresh_time(&self) -> Duration {
--- a/crates/gateway/src/belief/table_content.rs
+++ b/crates/gateway/src/cluster/table_row_set.rs
@@ -6,14 +6,14 @@
 
 /// A digest of what a row says; rows that differ in nothing that matters have
 /// the same.
-pub type ContentDigest = u64;
+pub type RowDigest = u64;
 /// A digest of a whole table's content, whatever the order of its rows.
 pub type TableFingerprint = u64;
 
 /// Rows that are gone which are remembered at most; far more than change within
 /// the store's history. Without a bound a process that never lists the table
 /// again would keep each server that ever left.
-const MOST_GONE: usize = 1024;
+const MAX_GONE: usize = 1024;
 
 /// What is known of one row.
 #[derive(Debug, Clone, Copy)]
@@ -21,7 +21,7 @@
     version: StoreVersion,
     /// `None` once the row is gone: an older row of it that comes late does not
     /// bring it back.
-    digest: Option<ContentDigest>,
+    digest: Option<RowDigest>,
 }
 
 /// The content of one table, by row.
@@ -30,7 +30,7 @@
 /// a gateway tells the others only of rows that say something new, and two
 /// gateways know that they hold the same by comparing one number.
 #[derive(Debug, Default)]
-pub struct TableContent {
+pub struct TableRowSet {
     rows: FxHashMap<String, KnownRow>,
     /// Invariant: the exclusive or of the digests of all rows that are there,
     /// each mixed with its key's.
@@ -39,22 +39,17 @@
     gone: usize,
 }
 
-impl TableContent {
+impl TableRowSet {
     /// Takes in a row, gone if `digest` is `None`; true when it says something
     /// new, false when it is older than the one known or says the same.
-    pub fn note(
-        &mut self,
-        key: &str,
-        version: StoreVersion,
-        digest: Option<ContentDigest>,
-    ) -> bool {
+    pub fn note(&mut self, key: &str, version: StoreVersion, digest: Option<RowDigest>) -> bool {
         let known = self.rows.get(key).copied();
         if known.is_some_and(|known| known.version > version) {
             return false;
         }
         self.rows.insert(key.to_owned(), KnownRow { version, digest });
         self.gone += usize::from(digest.is_none());
-        if self.gone > MOST_GONE {
+        if self.gone > MAX_GONE {
             self.rows.retain(|_, row| row.digest.is_some());
             self.gone = 0;
         }
@@ -71,7 +66,7 @@
     /// Takes in a whole listing as of `version`; the keys of rows that are gone.
     pub fn replace<'a>(
         &mut self,
-        rows: impl Iterator<Item = (&'a str, StoreVersion, ContentDigest)>,
+        rows: impl Iterator<Item = (&'a str, StoreVersion, RowDigest)>,
         version: StoreVersion,
     ) -> Vec<String> {
         let mut before = std::mem::take(self);
@@ -99,6 +94,6 @@
     }
 }
 
-fn mixed(key: &str, digest: ContentDigest) -> u64 {
+fn mixed(key: &str, digest: RowDigest) -> u64 {
     umberglade_wire::digest_seeded(key.as_bytes(), digest)
 }
--- a/crates/gateway/src/belief/usual_patience.rs
+++ b/crates/gateway/src/cluster/typical_timeout.rs
@@ -9,19 +9,19 @@
 /// and a later one less. First requests are the majority in all but the
 /// worst storms; one vote for or against each makes out their value.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct UsualPatience {
+pub struct TypicalTimeout {
     value: Duration,
     votes: u32,
 }
 
 /// The most votes kept, so that a change of the callers shows soon.
-const MOST_VOTES: u32 = 20;
+const MAX_VOTES: u32 = 20;
 
-impl UsualPatience {
+impl TypicalTimeout {
     /// Takes in a request's patience; how long its caller has been trying.
     pub fn note(&mut self, patience: Duration) -> Duration {
         if patience == self.value {
-            self.votes = (self.votes + 1).min(MOST_VOTES);
+            self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
             self.value = patience;
             self.votes = 1;
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use std::time::Instant;
 
-use crate::belief::ConfigWatch;
-use crate::belief::InForceChange;
+use crate::cluster::ConfigWatch;
+use crate::cluster::InForceChange;
 use crate::events;
 use crate::model::ConfigVersion;
 use crate::model::KeyDigest;
@@ -16,7 +16,7 @@
 use crate::state::GatewayState;
 
 /// Keys of which a change is logged one by one; of more, their number.
-const MOST_KEYS_LOGGED: usize = 16;
+const MAX_KEYS_LOGGED: usize = 16;
 
 impl GatewayState {
     /// The configuration in force, if one is known.
@@ -138,7 +138,7 @@
     version: u64,
 ) {
     let keys: Vec<&KeyDigest> = keys.collect();
-    for key in keys.iter().take(MOST_KEYS_LOGGED) {
+    for key in keys.iter().take(MAX_KEYS_LOGGED) {
         let count = keys.len();
         tracing::info!(event = events::KEY_CHANGED, %key, outcome, version, count, "keys changed");
     }
--- a/crates/gateway/src/flow_state.rs
+++ b/crates/gateway/src/flow_state.rs
@@ -5,9 +5,9 @@
 
 use http::StatusCode;
 
-use crate::belief::BackoffNews;
-use crate::belief::LimitNews;
-use crate::belief::ServerLimitChange;
+use crate::cluster::BackoffUpdate;
+use crate::cluster::LimitUpdate;
+use crate::cluster::ServerLimitChange;
 use crate::events;
 use crate::model::FlowControl;
 use crate::model::RequestRate;
@@ -54,13 +54,13 @@
 
     /// Applies a backoff reported by another gateway, and logs it if it extends a backoff of
     /// this gateway.
-    pub fn hear_backoff(&self, news: BackoffNews) {
+    pub fn hear_backoff(&self, news: BackoffUpdate) {
         let mut fleet = self.fleet();
         if !fleet.hear_backoff(news, Instant::now()) {
             return;
         }
-        let belief = fleet.server_by_incarnation(news.server);
-        let server = belief.map(|belief| belief.entry.server.clone());
+        let server_state = fleet.server_by_incarnation(news.server);
+        let server = server_state.map(|server_state| server_state.entry.server.clone());
         drop(fleet);
         let delay = Duration::from_millis(u64::from(news.left_ms));
         self.log_backoff(server.as_deref().unwrap_or("-"), delay, "gateway");
@@ -77,7 +77,7 @@
     }
 
     /// Applies a server's rate limit reported by another gateway, and logs a change.
-    pub fn hear_limit(&self, news: LimitNews) {
+    pub fn hear_limit(&self, news: LimitUpdate) {
         let change = self.fleet().hear_limit(news, Instant::now());
         if let Some(change) = change {
             self.log_limit(news.server, change, "gateway");
@@ -93,9 +93,9 @@
     fn note_departure(&self, incarnation: ServerIncarnation, source: &'static str) {
         let mut fleet = self.fleet();
         let Some(change) = fleet.note_departure(incarnation, Instant::now()) else { return };
-        let belief = fleet.server_by_incarnation(incarnation);
-        let server = belief.map(|belief| belief.entry.server.clone());
-        let version = belief.map_or(0, |belief| belief.version);
+        let server_state = fleet.server_by_incarnation(incarnation);
+        let server = server_state.map(|server_state| server_state.entry.server.clone());
+        let version = server_state.map_or(0, |server_state| server_state.version);
         drop(fleet);
         tracing::info!(
             event = events::SERVER_DEPARTURE,
@@ -117,8 +117,9 @@
     ) {
         let fleet = self.fleet();
         let share = fleet.own_limit_share(incarnation);
-        let server =
-            fleet.server_by_incarnation(incarnation).map(|belief| belief.entry.server.clone());
+        let server = fleet
+            .server_by_incarnation(incarnation)
+            .map(|server_state| server_state.entry.server.clone());
         drop(fleet);
         tracing::info!(
             event = events::SERVER_LIMIT_CHANGED,
--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -8,12 +8,12 @@
 
 use super::Call;
 use super::GatewayBody;
-use super::Refusal;
+use super::Rejection;
 use super::attempts::Attempts;
 use super::probe_guard::ProbeGuard;
-use super::refuse::refuse_call;
-use crate::belief::ContentVerdict;
-use crate::belief::HeldContent;
+use super::reject::reject_call;
+use crate::cluster::QuarantineStatus;
+use crate::cluster::QuarantineVerdict;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::quarantine::claim_probe;
@@ -22,7 +22,7 @@
 use crate::timing::by_deadline;
 
 /// How soon to come back where the next probe is not known to be further off.
-const LEAST_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY: Duration = Duration::from_secs(1);
 
 /// What is left of a caller's time when waiting for a probe ends.
 const ANSWER_TIME: Duration = Duration::from_millis(200);
@@ -36,10 +36,10 @@
 ) -> Result<Attempts, Response<GatewayBody>> {
     loop {
         let (held, outcome) = match state.quarantines.admit(call.content) {
-            ContentVerdict::Admitted => return Ok(Attempts::default()),
-            ContentVerdict::HeldBack(held) => (held, "refused".to_owned()),
-            ContentVerdict::Probe(held) => return Ok(probe(state, call, held)),
-            ContentVerdict::ProbeDue(held) => {
+            QuarantineVerdict::Admitted => return Ok(Attempts::default()),
+            QuarantineVerdict::HeldBack(held) => (held, "refused".to_owned()),
+            QuarantineVerdict::Probe(held) => return Ok(probe(state, call, held)),
+            QuarantineVerdict::ProbeDue(held) => {
                 match claim_probe::<C>(state, call.content, held).await {
                     Ok(true) => return Ok(probe(state, call, held)),
                     Ok(false) => (held, "refused; another gateway finds out".to_owned()),
@@ -49,14 +49,18 @@
         };
         if !wait_for_probe(state, call, held).await {
             log_held(call, held, 0, &outcome);
-            return Err(refuse_call(call, Refusal::Quarantined, Some(retry_after(held)), 0));
+            return Err(reject_call(call, Rejection::Quarantined, Some(retry_after(held)), 0));
         }
     }
 }
 
 /// Waits until `call` may be let through, or be a probe itself; false when it is
 /// held back for longer than its caller waits.
-pub(super) async fn wait_for_probe(state: &GatewayState, call: &Call, held: HeldContent) -> bool {
+pub(super) async fn wait_for_probe(
+    state: &GatewayState,
+    call: &Call,
+    held: QuarantineStatus,
+) -> bool {
     let has_time = call.time_left(Instant::now()) > ANSWER_TIME;
     if !held.is_undecided || !has_time {
         return false;
@@ -66,19 +70,19 @@
 }
 
 /// The sends of the one request that is let through.
-fn probe(state: &Arc<GatewayState>, call: &Call, held: HeldContent) -> Attempts {
+fn probe(state: &Arc<GatewayState>, call: &Call, held: QuarantineStatus) -> Attempts {
     log_held(call, held, 0, "let through to find out");
     Attempts::probe(ProbeGuard::new(state, call.content))
 }
 
 /// When a caller of what is held back may come back.
-pub(super) fn retry_after(held: HeldContent) -> Duration {
-    held.left.max(LEAST_RETRY)
+pub(super) fn retry_after(held: QuarantineStatus) -> Duration {
+    held.left.max(MIN_RETRY)
 }
 
 /// Logs what decided that `call` is held back after `sends` sends, or let
 /// through.
-pub(super) fn log_held(call: &Call, held: HeldContent, sends: u32, outcome: &str) {
+pub(super) fn log_held(call: &Call, held: QuarantineStatus, sends: u32, outcome: &str) {
     metrics::counter!("umberglade_calls_held_total").increment(1);
     tracing::info!(
         event = events::CALL_HELD_BACK,
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -9,8 +9,8 @@
 use super::admit::wait_for_probe;
 use super::probe_guard::ProbeGuard;
 use super::send_permit::SendPermit;
-use crate::belief::HeldContent;
-use crate::belief::RetryUse;
+use crate::cluster::QuarantineStatus;
+use crate::cluster::RetryVerdict;
 use crate::events;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
@@ -52,7 +52,7 @@
     /// Guards against sends that go on for a request while its content turns
     /// out to crash servers: it waits in line, it is sent again, its stream goes
     /// on elsewhere, or it is hedged. All sends ask here first.
-    pub fn held_back(&self, state: &GatewayState, call: &Call) -> Option<HeldContent> {
+    pub fn held_back(&self, state: &GatewayState, call: &Call) -> Option<QuarantineStatus> {
         if self.probe.is_some() && self.sends == 0 {
             return None;
         }
@@ -92,7 +92,7 @@
             log_held(call, held, self.sends, "not sent again");
             return None;
         }
-        if self.unsent < self.sends && !state.spend_retry(&call.service, RetryUse::Needed) {
+        if self.unsent < self.sends && !state.spend_retry(&call.service, RetryVerdict::Needed) {
             metrics::counter!("umberglade_retries_denied_total").increment(1);
             tracing::info!(
                 event = events::RETRY_DENIED,
@@ -115,7 +115,7 @@
             return None;
         }
         if std::mem::replace(&mut self.has_sent_prompt, true) {
-            let is_allowed = state.spend_retry(&call.service, RetryUse::Helpful);
+            let is_allowed = state.spend_retry(&call.service, RetryVerdict::Helpful);
             return is_allowed.then(|| SendPermit::counted(state, &call.service));
         }
         Some(SendPermit::first_prompt(state, &call.service))
--- a/crates/gateway/src/forward/cache_guard.rs
+++ b/crates/gateway/src/forward/cache_guard.rs
@@ -64,8 +64,9 @@
     /// again since has nothing of before.
     pub fn is_fresh(&self, ttl: Duration) -> bool {
         let fleet = self.state.fleet();
-        let belief = fleet.server(&self.target.server);
-        let is_same_start = belief.is_some_and(|of| of.incarnation == self.target.incarnation);
+        let server_state = fleet.server(&self.target.server);
+        let is_same_start =
+            server_state.is_some_and(|of| of.incarnation == self.target.incarnation);
         is_same_start && self.made_at.elapsed() + FETCH_MARGIN < ttl
     }
 
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -13,12 +13,12 @@
 
 use super::QuotaCharge;
 use crate::codec::PlatformCodec;
-use crate::model::CallContent;
 use crate::model::CallHead;
 use crate::model::ConfigVersion;
 use crate::model::EngineSpec;
 use crate::model::OnwardOrder;
 use crate::model::PromptShape;
+use crate::model::RequestFingerprint;
 use crate::model::Route;
 use crate::model::ServiceName;
 use crate::model::ServiceSpec;
@@ -35,7 +35,7 @@
     /// What it is charged to its organisation's quota, if there is one.
     pub charge: Option<QuotaCharge>,
     /// The same for each try of the same request.
-    pub content: CallContent,
+    pub content: RequestFingerprint,
     pub route: Arc<Route>,
     pub service: ServiceName,
     pub spec: ServiceSpec,
--- a/crates/gateway/src/forward/room_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -8,35 +8,35 @@
 
 use super::Call;
 use super::GatewayBody;
-use super::Refusal;
+use super::Rejection;
 use super::admit::log_held;
 use super::admit::retry_after;
 use super::attempts::Attempts;
-use super::refuse::next_send_after;
-use super::refuse::refuse_call;
-use crate::belief::EnginePlace;
-use crate::belief::LineAsker;
-use crate::belief::LoadShare;
-use crate::belief::OpeningTime;
-use crate::belief::OtherLines;
-use crate::belief::PlaceNeed;
-use crate::belief::PlaceRefusal;
-use crate::belief::Ticket;
-use crate::belief::WaitingLine;
-use crate::belief::place_engine;
-use crate::belief::server_digest;
+use super::reject::next_send_after;
+use super::reject::reject_call;
+use crate::cluster::AdmissionQueue;
+use crate::cluster::EnginePlacement;
+use crate::cluster::FirstEventTime;
+use crate::cluster::LoadShare;
+use crate::cluster::PeerQueues;
+use crate::cluster::PlacementError;
+use crate::cluster::PlacementRequest;
+use crate::cluster::QueueRequest;
+use crate::cluster::Ticket;
+use crate::cluster::place_engine;
+use crate::cluster::server_digest;
 use crate::events;
+use crate::load_guard::LoadGuard;
 use crate::model::EngineSpec;
 use crate::model::PromptShape;
 use crate::model::RequestRate;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
-use crate::work_hold::WorkHold;
 
 /// From the room's being found to the first event, where what is learned of it
 /// is not asked for.
-pub(super) const FIRST_EVENT_TIME: Duration = OpeningTime::UNKNOWN;
+pub(super) const FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
 /// The first in line looks again this often: room at a server may come free
 /// without any event of ours.
 const LOOK_AGAIN: Duration = Duration::from_millis(40);
@@ -49,27 +49,27 @@
 const NO_SERVER_RETRY: Duration = Duration::from_millis(1000);
 /// Callers give up on a stream after the longest of this, four target
 /// latencies and eight target gaps without an event.
-const LEAST_GIVE_UP: Duration = Duration::from_secs(2);
+const MIN_GIVE_UP: Duration = Duration::from_secs(2);
 
 /// Room for a stream: the work is counted at both servers.
-pub(super) struct Placed {
-    pub decode: WorkHold,
-    pub prefill: Option<WorkHold>,
+pub(super) struct PlacedStream {
+    pub decode: LoadGuard,
+    pub prefill: Option<LoadGuard>,
 }
 
 /// A place in line, given up when dropped.
-struct LinePlace<'a> {
+struct QueueTicket<'a> {
     state: &'a Arc<GatewayState>,
     call: &'a Call,
     ticket: Ticket,
     is_placed: bool,
 }
 
-impl Drop for LinePlace<'_> {
+impl Drop for QueueTicket<'_> {
     fn drop(&mut self) {
         let now = Instant::now();
         self.state
-            .demand
+            .service_queues
             .with_line(&self.call.service, |line| line.leave(self.ticket, self.is_placed, now));
         self.state.room.notify(usize::MAX);
     }
@@ -77,17 +77,17 @@
 
 /// Waits in line until a decode server has room. The refusal, when there is
 /// none in time or the line is too long, is made at once.
-pub(super) async fn wait_for_room(
+pub(super) async fn wait_for_capacity(
     state: &Arc<GatewayState>,
     call: &Call,
     attempts: &Attempts,
     spec: &EngineSpec,
     shape: &PromptShape,
-) -> Result<Placed, Response<GatewayBody>> {
+) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
     let learned = state.learned(&call.service);
     let run_time = learned.outputs.run_time(shape.expected_output());
-    let asker = LineAsker {
+    let asker = QueueRequest {
         occupancy: occupancy(shape, learned.opening.likely() + run_time),
         on_time_until: on_time_until(call, &learned.opening),
         tried_for: call.tried_for,
@@ -95,13 +95,14 @@
     let give_up = give_up_at(call, run_time);
     let patience = give_up.saturating_duration_since(now);
     let others = state.other_lines(&call.service);
-    let joined =
-        state.demand.with_line(&call.service, |line| line.join(asker, patience, others, now));
+    let joined = state
+        .service_queues
+        .with_line(&call.service, |line| line.join(asker, patience, others, now));
     let ticket = joined.map_err(|refusal| {
         log_no_room(state, call, others, refusal.predicted);
-        refuse_call(call, Refusal::NoRoom, Some(refusal.retry_after), 0)
+        reject_call(call, Rejection::NoRoom, Some(refusal.retry_after), 0)
     })?;
-    let mut place = LinePlace { state, call, ticket, is_placed: false };
+    let mut place = QueueTicket { state, call, ticket, is_placed: false };
     let mut is_told = false;
     loop {
         let woken = state.room.listen();
@@ -109,10 +110,11 @@
         let is_undecided = held.is_some_and(|held| held.is_undecided);
         if let Some(held) = held.filter(|_| !is_undecided) {
             log_held(call, held, 0, "left the line");
-            return Err(refuse_call(call, Refusal::Quarantined, Some(retry_after(held)), 0));
+            return Err(reject_call(call, Rejection::Quarantined, Some(retry_after(held)), 0));
         }
         let now = Instant::now();
-        let leads = state.demand.with_line(&call.service, |line| line.leads_since(ticket, now));
+        let leads =
+            state.service_queues.with_line(&call.service, |line| line.leads_since(ticket, now));
         let tries_at = leads.map(|since| tries_at(state, call, since));
         if tries_at.is_some_and(|at| now < at) && !is_told {
             state.work_changed.notify(1);
@@ -124,15 +126,15 @@
                     place.is_placed = true;
                     return Ok(placed);
                 }
-                Err(PlaceRefusal::NoServer) => {
-                    return Err(refuse_call(call, Refusal::NoServer, Some(NO_SERVER_RETRY), 0));
+                Err(PlacementError::NoServer) => {
+                    return Err(reject_call(call, Rejection::NoServer, Some(NO_SERVER_RETRY), 0));
                 }
-                Err(PlaceRefusal::NoRoom) if is_rate_limited_until(state, call, give_up) => {
+                Err(PlacementError::NoRoom) if is_rate_limited_until(state, call, give_up) => {
                     let after = next_send_after(state, call, now);
-                    return Err(refuse_call(call, Refusal::RateLimited, after, 0));
+                    return Err(reject_call(call, Rejection::RateLimited, after, 0));
                 }
-                Err(PlaceRefusal::NoRoom) => {
-                    state.demand.with_line(&call.service, WaitingLine::note_no_room);
+                Err(PlacementError::NoRoom) => {
+                    state.service_queues.with_line(&call.service, AdmissionQueue::note_no_room);
                     if !is_told {
                         state.work_changed.notify(1);
                         is_told = true;
@@ -143,7 +145,7 @@
         if now >= give_up {
             let after = room_after(state, call);
             log_no_room(state, call, state.other_lines(&call.service), after);
-            return Err(refuse_call(call, Refusal::NoRoom, Some(after), 0));
+            return Err(reject_call(call, Rejection::NoRoom, Some(after), 0));
         }
         let look_at = match tries_at {
             Some(at) if now < at => at,
@@ -177,18 +179,18 @@
 /// When the lines ahead should have passed.
 pub(super) fn room_after(state: &GatewayState, call: &Call) -> Duration {
     let others = state.other_lines(&call.service);
-    state.demand.with_line(&call.service, |line| line.retry_after(others, Instant::now()))
+    state.service_queues.with_line(&call.service, |line| line.retry_after(others, Instant::now()))
 }
 
 /// Logs what decided that a request finds no room.
-fn log_no_room(state: &GatewayState, call: &Call, others: OtherLines, predicted: Duration) {
-    let waiting = state.demand.with_line(&call.service, |line| line.len());
+fn log_no_room(state: &GatewayState, call: &Call, others: PeerQueues, predicted: Duration) {
+    let waiting = state.service_queues.with_line(&call.service, |line| line.len());
     let now = Instant::now();
     let fleet = state.fleet();
     let (mut servers, mut running) = (0, 0);
-    for (belief, others) in fleet.open_servers(&call.service, now) {
+    for (server_state, others) in fleet.open_servers(&call.service, now) {
         servers += 1;
-        running += belief.own.plus(others.load).running;
+        running += server_state.own.plus(others.load).running;
     }
     tracing::info!(
         event = events::NO_ROOM,
@@ -220,8 +222,8 @@
 /// The target counts from the caller's first try. Guards against callers who
 /// come back after a refusal, late in any case, taking room from those who
 /// could still be on time.
-fn on_time_until(call: &Call, opening: &OpeningTime) -> Instant {
-    let target = call.route.target_latency.unwrap_or(LEAST_GIVE_UP);
+fn on_time_until(call: &Call, opening: &FirstEventTime) -> Instant {
+    let target = call.route.target_latency.unwrap_or(MIN_GIVE_UP);
     call.arrived + opening.latest_start(target).saturating_sub(call.tried_for)
 }
 
@@ -235,7 +237,7 @@
 fn give_up_at(call: &Call, run_time: Duration) -> Instant {
     let target = call.route.target_latency.unwrap_or_default();
     let gap = call.route.target_gap.unwrap_or_default();
-    let caller = LEAST_GIVE_UP.max(target * 4).max(gap * 8);
+    let caller = MIN_GIVE_UP.max(target * 4).max(gap * 8);
     (call.arrived + caller).min(call.deadline - run_time) - FIRST_EVENT_TIME * 2
 }
 
@@ -244,10 +246,10 @@
     call: &Call,
     spec: &EngineSpec,
     shape: &PromptShape,
-) -> Result<Placed, PlaceRefusal> {
-    let EnginePlace { decode, prefill, cost } = {
+) -> Result<PlacedStream, PlacementError> {
+    let EnginePlacement { decode, prefill, cost } = {
         let now = Instant::now();
-        let line = state.demand.with_line(&call.service, |line| line.news(now));
+        let line = state.service_queues.with_line(&call.service, |line| line.news(now));
         let fleet = state.fleet();
         let service = server_digest(&call.service);
         let ahead = line.map_or(0, |line| fleet.peers.waiting_before(service, &line, now));
@@ -255,9 +257,9 @@
     };
     log_placed(state, call, &decode, prefill.as_ref(), 0, cost);
     let prefill = prefill
-        .map(|server| WorkHold::begin(state, server, LoadShare::of_prompt(shape.prompt_tokens)));
-    let decode = WorkHold::begin(state, decode, LoadShare::of_stream(shape));
-    Ok(Placed { decode, prefill })
+        .map(|server| LoadGuard::begin(state, server, LoadShare::of_prompt(shape.prompt_tokens)));
+    let decode = LoadGuard::begin(state, decode, LoadShare::of_stream(shape));
+    Ok(PlacedStream { decode, prefill })
 }
 
 pub(super) fn log_placed(
@@ -270,12 +272,12 @@
 ) {
     let now = Instant::now();
     let fleet = state.fleet();
-    let Some(belief) = fleet.server(decode) else { return };
-    let load = fleet.load(belief, now);
+    let Some(server_state) = fleet.server(decode) else { return };
+    let load = fleet.load(server_state, now);
     let shape = call.prompt_shape();
     let prefill_tokens = prefill
         .and_then(|server| fleet.server(server))
-        .map_or(0, |belief| fleet.load(belief, now).prompt_tokens);
+        .map_or(0, |server_state| fleet.load(server_state, now).prompt_tokens);
     tracing::info!(
         event = events::ENGINE_PLACED,
         request_id = call.id(),
@@ -284,9 +286,9 @@
         config = call.config,
         decode = %decode,
         prefill = prefill.map(|server| &**server),
-        domain = %belief.entry.domain,
-        row_version = belief.version,
-        own = belief.own.running,
+        domain = %server_state.entry.domain,
+        row_version = server_state.version,
+        own = server_state.own.running,
         all = load.running,
         prompt_tokens = load.prompt_tokens,
         output_tokens = load.output_tokens,
@@ -295,8 +297,8 @@
         own_prompt = shape.prompt_tokens,
         own_output = shape.expected_output(),
         own_limit = shape.output_limit,
-        failure_share = belief.health.failure_share(now),
-        limit = fleet.limits.limit(belief.incarnation).map(RequestRate::per_second),
+        failure_share = server_state.health.failure_share(now),
+        limit = fleet.limits.limit(server_state.incarnation).map(RequestRate::per_second),
         cost,
         attempt,
         waited_ms = call.age_ms(),
@@ -308,8 +310,8 @@
     state: &'a GatewayState,
     call: &'a Call,
     tried: &'a [ServerKey],
-) -> PlaceNeed<'a> {
-    PlaceNeed {
+) -> PlacementRequest<'a> {
+    PlacementRequest {
         service: &call.service,
         gateway: state.digest,
         domain: &state.settings.domain,
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -13,7 +13,7 @@
 
 use super::Call;
 use super::send_permit::SendPermit;
-use crate::belief::ServerOutcome;
+use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::model::OnwardOrder;
@@ -80,12 +80,12 @@
 pub fn send_target(state: &GatewayState, server: &str) -> Option<SendTarget> {
     let now = Instant::now();
     let mut fleet = state.fleet();
-    let belief = fleet.server(server).filter(|belief| belief.is_open(now))?;
+    let server_state = fleet.server(server).filter(|server_state| server_state.is_open(now))?;
     let target = SendTarget {
-        server: belief.entry.server.clone(),
-        incarnation: belief.incarnation,
-        address: belief.entry.address,
-        may_reuse: !belief.health.is_suspect(now),
+        server: server_state.entry.server.clone(),
+        incarnation: server_state.incarnation,
+        address: server_state.entry.address,
+        may_reuse: !server_state.health.is_suspect(now),
     };
     fleet.take_send_token(target.incarnation, now).then_some(target)
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -5,15 +5,15 @@
 mod attempts;
 mod cache_guard;
 mod call;
+mod capacity_wait;
 mod event_reader;
 mod exchange;
 mod plain_run;
 mod prefill_step;
 mod probe_guard;
 mod quota_charge;
-mod refuse;
+mod reject;
 mod relay;
-mod room_wait;
 mod send_permit;
 mod stream_open;
 mod stream_run;
@@ -26,15 +26,15 @@
 pub use self::event_reader::StreamEvent;
 pub use self::exchange::send_target;
 pub use self::quota_charge::QuotaCharge;
-pub use self::refuse::Refusal;
-pub use self::refuse::refuse;
+pub use self::reject::Rejection;
+pub use self::reject::refuse;
 
 use std::sync::Arc;
 use std::time::Duration;
 
 use http::Response;
 
-use self::refuse::refuse_call;
+use self::reject::reject_call;
 use crate::codec::PlatformCodec;
 use crate::model::CallKind;
 use crate::state::GatewayState;
@@ -45,7 +45,7 @@
     call: Arc<Call>,
 ) -> Response<GatewayBody> {
     if state.is_past_last_call() {
-        return refuse_call(&call, Refusal::Stopping, Some(Duration::ZERO), 0);
+        return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
     state.note_request(&call.service);
     let attempts = match admit::admit::<C>(state, &call).await {
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -14,18 +14,19 @@
 use super::GatewayBody;
 use super::answer;
 use super::attempts::Attempts;
+use super::capacity_wait::need;
 use super::exchange;
 use super::exchange::OpenReply;
 use super::exchange::SendFailure;
 use super::exchange::is_delimited;
-use super::refuse::refuse_unanswered;
-use super::room_wait::need;
+use super::reject::refuse_unanswered;
 use super::send_permit::SendPermit;
-use crate::belief::LoadShare;
-use crate::belief::ServerOutcome;
-use crate::belief::place_plain;
+use crate::cluster::LoadShare;
+use crate::cluster::ServerOutcome;
+use crate::cluster::place_plain;
 use crate::codec::PlatformCodec;
 use crate::events;
+use crate::load_guard::LoadGuard;
 use crate::model::OnwardOrder;
 use crate::model::RequestRate;
 use crate::model::SendPurpose;
@@ -33,7 +34,6 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 use crate::upstream::SendTarget;
-use crate::work_hold::WorkHold;
 
 /// How soon a refused caller of a plain call may come back: its servers
 /// work for tens of milliseconds a call, so room comes and goes that fast.
@@ -184,7 +184,7 @@
     let fleet = state.fleet();
     let need = need(state, call, &attempts.tried);
     let place = place_plain(&fleet, &need).ok()?;
-    let belief = fleet.server(&place.server)?;
+    let server_state = fleet.server(&place.server)?;
     tracing::info!(
         event = events::PLAIN_PLACED,
         request_id = call.id(),
@@ -192,12 +192,12 @@
         service = %call.service,
         config = call.config,
         server = %place.server,
-        domain = %belief.entry.domain,
-        row_version = belief.version,
-        own = belief.own.running,
-        all = fleet.load(belief, need.now).running,
-        failure_share = belief.health.failure_share(need.now),
-        limit = fleet.limits.limit(belief.incarnation).map(RequestRate::per_second),
+        domain = %server_state.entry.domain,
+        row_version = server_state.version,
+        own = server_state.own.running,
+        all = fleet.load(server_state, need.now).running,
+        failure_share = server_state.health.failure_share(need.now),
+        limit = fleet.limits.limit(server_state.incarnation).map(RequestRate::per_second),
         cost = place.cost,
         attempt = attempts.sends(),
         "placed"
@@ -214,7 +214,7 @@
     let Some(target) = exchange::send_target(state, &server) else {
         return SendEnd::Failed(SendFailure::Unsent);
     };
-    let _hold = WorkHold::begin(state, server, LoadShare::of_call());
+    let _hold = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
     let order = OnwardOrder {
         server: target.server.clone(),
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -12,15 +12,15 @@
 use super::exchange;
 use super::exchange::SendFailure;
 use super::send_permit::SendPermit;
-use crate::belief::ServerOutcome;
+use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
+use crate::load_guard::LoadGuard;
 use crate::model::CacheSource;
 use crate::model::OnwardOrder;
 use crate::model::SendPurpose;
 use crate::state::GatewayState;
 use crate::upstream::SendTarget;
-use crate::work_hold::WorkHold;
 
 /// What a prompt may take beyond a multiple of the usual time: a paused engine
 /// is not given up for a hiccup.
@@ -49,8 +49,8 @@
 /// Prompt tokens that all gateways have at a server, this prompt's included.
 fn tokens_at(state: &GatewayState, target: &SendTarget) -> u32 {
     let fleet = state.fleet();
-    let belief = fleet.server(&target.server);
-    belief.map_or(0, |belief| fleet.load(belief, Instant::now()).prompt_tokens)
+    let server_state = fleet.server(&target.server);
+    server_state.map_or(0, |server_state| fleet.load(server_state, Instant::now()).prompt_tokens)
 }
 
 /// Reads the prompt, and the answer up to `resume_after`, at the server of
@@ -58,7 +58,7 @@
 pub async fn prefill<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
-    hold: WorkHold,
+    hold: LoadGuard,
     permit: SendPermit,
     resume_after: Option<u64>,
 ) -> Result<CacheGuard<C>, SendFailure> {
@@ -96,7 +96,9 @@
         C::prefill_result(&body).map_err(|error| fail(SendFailure::Garbled, &error.to_string()))?;
     reply.permit.settle();
     let took = begun.elapsed();
-    state.demand.with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
+    state
+        .service_queues
+        .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
     state.note_outcome(&target, ServerOutcome::Fine);
     tracing::info!(
         event = events::PREFILL_DONE,
--- a/crates/gateway/src/forward/probe_guard.rs
+++ b/crates/gateway/src/forward/probe_guard.rs
@@ -2,19 +2,19 @@
 
 use std::sync::Arc;
 
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::state::GatewayState;
 
 /// Tells when the request is over, however it ends.
 #[derive(Debug)]
 pub struct ProbeGuard {
     state: Arc<GatewayState>,
-    content: CallContent,
+    content: RequestFingerprint,
 }
 
 impl ProbeGuard {
     /// A request of `content` goes out as a probe.
-    pub fn new(state: &Arc<GatewayState>, content: CallContent) -> Self {
+    pub fn new(state: &Arc<GatewayState>, content: RequestFingerprint) -> Self {
         ProbeGuard { state: Arc::clone(state), content }
     }
 }
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::AtomicU8;
 use std::sync::atomic::Ordering;
 
-use crate::belief::OrganisationDigest;
+use crate::cluster::OrganisationDigest;
 use crate::state::GatewayState;
 
 /// Given back when dropped, unless a server may have run the request.
--- a/crates/gateway/src/forward/refuse.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -27,7 +27,7 @@
 /// Why the gateway answers by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
-pub enum Refusal {
+pub enum Rejection {
     /// No configuration is known yet.
     NoConfiguration,
     /// No route matches.
@@ -62,32 +62,32 @@
     OutcomeUnknown,
 }
 
-impl Refusal {
+impl Rejection {
     /// The status: 429 and 503 promise that the request has not run and
     /// never will; 502 and 504 promise nothing.
     pub fn status(self) -> StatusCode {
         match self {
-            Refusal::UnknownKey => StatusCode::UNAUTHORIZED,
-            Refusal::QuotaSpent => StatusCode::TOO_MANY_REQUESTS,
-            Refusal::NoRoute => StatusCode::NOT_FOUND,
-            Refusal::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
-            Refusal::BadRequest => StatusCode::BAD_REQUEST,
-            Refusal::NoConfiguration
-            | Refusal::ConfigUnsettled
-            | Refusal::NoServer
-            | Refusal::NoRoom
-            | Refusal::RateLimited
-            | Refusal::NotRun
-            | Refusal::Stopping
-            | Refusal::Quarantined
-            | Refusal::ExpiredUnsent => StatusCode::SERVICE_UNAVAILABLE,
-            Refusal::Expired => StatusCode::GATEWAY_TIMEOUT,
-            Refusal::OutcomeUnknown => StatusCode::BAD_GATEWAY,
+            Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
+            Rejection::QuotaSpent => StatusCode::TOO_MANY_REQUESTS,
+            Rejection::NoRoute => StatusCode::NOT_FOUND,
+            Rejection::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            Rejection::BadRequest => StatusCode::BAD_REQUEST,
+            Rejection::NoConfiguration
+            | Rejection::ConfigUnsettled
+            | Rejection::NoServer
+            | Rejection::NoRoom
+            | Rejection::RateLimited
+            | Rejection::NotRun
+            | Rejection::Stopping
+            | Rejection::Quarantined
+            | Rejection::ExpiredUnsent => StatusCode::SERVICE_UNAVAILABLE,
+            Rejection::Expired => StatusCode::GATEWAY_TIMEOUT,
+            Rejection::OutcomeUnknown => StatusCode::BAD_GATEWAY,
         }
     }
 }
 
-impl Refusal {
+impl Rejection {
     /// True for an answer that promises that the request has not run.
     fn promises_not_run(self) -> bool {
         matches!(self.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
@@ -96,7 +96,7 @@
 
 /// The answer for `refusal`, with when to come back if the request has not
 /// run.
-pub fn refuse(refusal: Refusal, retry_after: Option<Duration>) -> Response<GatewayBody> {
+pub fn refuse(refusal: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
     let reason: &'static str = refusal.into();
     metrics::counter!("umberglade_refusals_total", "reason" => reason).increment(1);
     let body = Bytes::from(format!("{{\"error\":\"{reason}\"}}"));
@@ -127,17 +127,17 @@
     let held = state.quarantines.held(call.content);
     let next_send_after = next_send_after(state, call, now);
     let (refusal, retry_after) = match (may_have_run, is_late, held) {
-        (true, true, _) => (Refusal::Expired, None),
-        (true, false, _) => (Refusal::OutcomeUnknown, None),
-        (false, false, Some(held)) => (Refusal::Quarantined, Some(retry_after(held))),
-        (false, true, _) => (Refusal::ExpiredUnsent, Some(usual())),
+        (true, true, _) => (Rejection::Expired, None),
+        (true, false, _) => (Rejection::OutcomeUnknown, None),
+        (false, false, Some(held)) => (Rejection::Quarantined, Some(retry_after(held))),
+        (false, true, _) => (Rejection::ExpiredUnsent, Some(usual())),
         (false, false, None) if next_send_after.is_some_and(|after| !after.is_zero()) => {
-            (Refusal::RateLimited, next_send_after.map(|after| after.max(usual())))
+            (Rejection::RateLimited, next_send_after.map(|after| after.max(usual())))
         }
-        (false, false, None) if attempts.sends() == 0 => (Refusal::NoServer, Some(usual())),
-        (false, false, None) => (Refusal::NotRun, Some(usual())),
+        (false, false, None) if attempts.sends() == 0 => (Rejection::NoServer, Some(usual())),
+        (false, false, None) => (Rejection::NotRun, Some(usual())),
     };
-    refuse_call(call, refusal, retry_after, attempts.sends())
+    reject_call(call, refusal, retry_after, attempts.sends())
 }
 
 /// Time until the rate limits allow this gateway to send `call` to a server that can
@@ -145,7 +145,10 @@
 pub(super) fn next_send_after(state: &GatewayState, call: &Call, now: Instant) -> Option<Duration> {
     let fleet = state.fleet();
     let answers = |stage| stage != ServerStage::Prefill;
-    if !fleet.open_servers(&call.service, now).any(|(belief, _)| answers(belief.entry.stage)) {
+    if !fleet
+        .open_servers(&call.service, now)
+        .any(|(server_state, _)| answers(server_state.entry.stage))
+    {
         return None;
     }
     let at = fleet.next_send_at(&call.service, answers, now);
@@ -153,9 +156,9 @@
 }
 
 /// Like [`refuse`] for a routed call, with its log line.
-pub fn refuse_call(
+pub fn reject_call(
     call: &Call,
-    refusal: Refusal,
+    refusal: Rejection,
     retry_after: Option<Duration>,
     sends: u32,
 ) -> Response<GatewayBody> {
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -25,10 +25,10 @@
 use super::stream_open::OpenEnd;
 use super::stream_open::OpenStream;
 use super::stream_run;
-use crate::belief::ServerOutcome;
+use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
-use crate::flight_count::FlightGuard;
+use crate::in_flight_count::InFlightGuard;
 use crate::model::OnwardOrder;
 use crate::model::SendPurpose;
 use crate::state::GatewayState;
@@ -70,7 +70,7 @@
     metrics::histogram!("umberglade_first_event_seconds").record(first_event.as_secs_f64());
     if attempts.sends() == 1 {
         let took = stream.hold.age();
-        state.demand.with_opening(&call.service, |opening| opening.note(took));
+        state.service_queues.with_opening(&call.service, |opening| opening.note(took));
     }
     let (sender, body) = answer::pieces();
     let mut response = Response::new(body);
@@ -97,7 +97,7 @@
     state: Arc<GatewayState>,
     /// Held so that a graceful stop waits for the stream.
     #[allow(dead_code)]
-    in_flight: FlightGuard,
+    in_flight: InFlightGuard,
     call: Arc<Call>,
     sender: Sender<BodyPiece>,
     attempts: Attempts,
@@ -230,11 +230,11 @@
     fn end_well(&self, stream: OpenStream) {
         let made = self.relayed as u32 * self.call.engine_spec().tokens_per_event;
         let took = self.call.arrived.elapsed().saturating_sub(self.first_event);
-        let demand = &self.state.demand;
-        demand.with_outputs(&self.call.service, |outputs| outputs.note(made, took));
+        let service_queues = &self.state.service_queues;
+        service_queues.with_outputs(&self.call.service, |outputs| outputs.note(made, took));
         let prompt_tokens = self.call.prompt_shape().prompt_tokens;
         let stay = stream.hold.age();
-        demand.with_balance(&self.call.service, |balance| {
+        service_queues.with_balance(&self.call.service, |balance| {
             balance.note_stream(prompt_tokens, made, stay);
         });
         self.state.note_outcome(&stream.target, ServerOutcome::Fine);
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -18,14 +18,14 @@
 use super::exchange::OpenReply;
 use super::exchange::SendFailure;
 use super::send_permit::SendPermit;
-use crate::belief::ServerOutcome;
+use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
+use crate::load_guard::LoadGuard;
 use crate::model::OnwardOrder;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 use crate::upstream::KeptConnection;
 use crate::upstream::SendTarget;
-use crate::work_hold::WorkHold;
 
 /// A stream whose first event has come.
 #[derive(Debug)]
@@ -42,7 +42,7 @@
     pub keep_alive: Option<Duration>,
     /// False when its end looks like its server's.
     pub is_delimited: bool,
-    pub hold: WorkHold,
+    pub hold: LoadGuard,
 }
 
 /// How opening a stream ended.
@@ -59,7 +59,7 @@
 pub async fn open<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
-    hold: WorkHold,
+    hold: LoadGuard,
     permit: SendPermit,
     order: &OnwardOrder,
     patience: Duration,
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -8,31 +8,31 @@
 
 use super::Call;
 use super::GatewayBody;
-use super::Refusal;
+use super::Rejection;
 use super::attempts::Attempts;
 use super::cache_guard::CacheGuard;
+use super::capacity_wait::FIRST_EVENT_TIME;
+use super::capacity_wait::log_placed;
+use super::capacity_wait::need;
+use super::capacity_wait::room_after;
+use super::capacity_wait::wait_for_capacity;
 use super::exchange::SendFailure;
 use super::prefill_step;
-use super::refuse::refuse_call;
-use super::refuse::refuse_unanswered;
+use super::reject::refuse_unanswered;
+use super::reject::reject_call;
 use super::relay;
-use super::room_wait::FIRST_EVENT_TIME;
-use super::room_wait::log_placed;
-use super::room_wait::need;
-use super::room_wait::room_after;
-use super::room_wait::wait_for_room;
 use super::stream_open;
 use super::stream_open::OpenEnd;
-use crate::belief::LoadShare;
-use crate::belief::place_decode;
-use crate::belief::place_prefill;
+use crate::cluster::LoadShare;
+use crate::cluster::place_decode;
+use crate::cluster::place_prefill;
 use crate::codec::PlatformCodec;
+use crate::load_guard::LoadGuard;
 use crate::model::OnwardOrder;
 use crate::model::SendPurpose;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 use crate::stop::CLOSE_TIME;
-use crate::work_hold::WorkHold;
 
 /// A first event later than this is not coming, as long as another server
 /// may be tried: five times what it usually takes.
@@ -46,11 +46,11 @@
 ) -> Response<GatewayBody> {
     // Begun this late in a stop, a stream would be cut by its end.
     if state.stop.has_lasted(CLOSE_TIME) {
-        return refuse_call(&call, Refusal::Stopping, Some(Duration::ZERO), 0);
+        return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
     let shape = call.prompt_shape();
     let spec = call.engine_spec();
-    let placed = match wait_for_room(state, &call, &attempts, &spec, &shape).await {
+    let placed = match wait_for_capacity(state, &call, &attempts, &spec, &shape).await {
         Ok(placed) => placed,
         Err(refusal) => return refusal,
     };
@@ -71,7 +71,7 @@
     state: &Arc<GatewayState>,
     call: Arc<Call>,
     mut attempts: Attempts,
-    hold: WorkHold,
+    hold: LoadGuard,
     cache: Option<CacheGuard<C>>,
 ) -> Response<GatewayBody> {
     attempts.told_apart(state, &call).await;
@@ -154,7 +154,7 @@
 }
 
 /// A decode server for a stream that could not be opened, or broke.
-pub fn elsewhere(state: &Arc<GatewayState>, call: &Call, attempts: &Attempts) -> Option<WorkHold> {
+pub fn elsewhere(state: &Arc<GatewayState>, call: &Call, attempts: &Attempts) -> Option<LoadGuard> {
     let shape = call.prompt_shape();
     let server = {
         let fleet = state.fleet();
@@ -162,7 +162,7 @@
         place_decode(&fleet, &call.engine_spec(), &shape, &need).ok()?
     };
     log_placed(state, call, &server, None, attempts.sends(), 0.0);
-    Some(WorkHold::begin(state, server, LoadShare::of_stream(&shape)))
+    Some(LoadGuard::begin(state, server, LoadShare::of_stream(&shape)))
 }
 
 /// Like [`elsewhere`], with the prompt read by a prefill server where that
@@ -176,18 +176,18 @@
     call: &Call,
     attempts: &mut Attempts,
     resume_after: Option<u64>,
-) -> Option<(WorkHold, Option<CacheGuard<C>>)> {
+) -> Option<(LoadGuard, Option<CacheGuard<C>>)> {
     let decode = elsewhere(state, call, attempts)?;
     let Some(server) = prefill_near(state, call, &decode) else { return Some((decode, None)) };
     let Some(permit) = attempts.permit_prompt(state, call) else { return Some((decode, None)) };
     let work = LoadShare::of_prompt(call.prompt_shape().prompt_tokens);
-    let prefill = WorkHold::begin(state, server, work);
+    let prefill = LoadGuard::begin(state, server, work);
     let cache = prefill_step::prefill::<C>(state, call, prefill, permit, resume_after).await.ok();
     Some((decode, cache))
 }
 
 /// A prefill server near the decode server, if there is any.
-fn prefill_near(state: &Arc<GatewayState>, call: &Call, decode: &WorkHold) -> Option<ServerKey> {
+fn prefill_near(state: &Arc<GatewayState>, call: &Call, decode: &LoadGuard) -> Option<ServerKey> {
     let fleet = state.fleet();
     let domain = fleet.server(&decode.server)?.entry.domain.clone();
     place_prefill(&fleet, &domain, &need(state, call, &[])).ok()
--- a/crates/gateway/src/flight_count.rs
+++ b/crates/gateway/src/in_flight_count.rs
@@ -6,7 +6,7 @@
 
 /// Counts what is in flight.
 #[derive(Debug, Default)]
-pub struct FlightCount {
+pub struct InFlightCount {
     requests: Arc<AtomicU32>,
     /// Callers' connections that a stop closes.
     connections: Arc<AtomicU32>,
@@ -14,32 +14,32 @@
 
 /// Counts one request or connection until dropped.
 #[derive(Debug)]
-pub struct FlightGuard {
+pub struct InFlightGuard {
     count: Arc<AtomicU32>,
 }
 
-impl FlightGuard {
+impl InFlightGuard {
     fn enter(count: &Arc<AtomicU32>) -> Self {
         count.fetch_add(1, Ordering::AcqRel);
-        FlightGuard { count: Arc::clone(count) }
+        InFlightGuard { count: Arc::clone(count) }
     }
 }
 
-impl Drop for FlightGuard {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.count.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-impl FlightCount {
+impl InFlightCount {
     /// Counts a request until the guard is dropped.
-    pub fn enter_request(&self) -> FlightGuard {
-        FlightGuard::enter(&self.requests)
+    pub fn enter_request(&self) -> InFlightGuard {
+        InFlightGuard::enter(&self.requests)
     }
 
     /// Counts a caller's connection until the guard is dropped.
-    pub fn enter_connection(&self) -> FlightGuard {
-        FlightGuard::enter(&self.connections)
+    pub fn enter_connection(&self) -> InFlightGuard {
+        InFlightGuard::enter(&self.connections)
     }
 
     /// Requests in flight.
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::forward::Refusal;
+use crate::forward::Rejection;
 use crate::model::CallerKey;
 use crate::model::CallerMark;
 use crate::model::CallerVerdict;
@@ -49,10 +49,10 @@
     host: &str,
     path: &str,
     key: &CallerKey,
-) -> Result<FoundRoute, Refusal> {
+) -> Result<FoundRoute, Rejection> {
     let until = Instant::now() + NEWER_WAIT;
     loop {
-        let table = state.table().ok_or(Refusal::NoConfiguration)?;
+        let table = state.table().ok_or(Rejection::NoConfiguration)?;
         let refusal = match look_up(table, host, path, key) {
             Ok(found) => return Ok(found),
             Err(refusal) => refusal,
@@ -61,7 +61,7 @@
             return Err(refusal);
         }
         if Instant::now() >= until {
-            return Err(Refusal::ConfigUnsettled);
+            return Err(Rejection::ConfigUnsettled);
         }
         state.ask_for_config();
         // A change that comes meanwhile is seen at the next look.
@@ -74,12 +74,12 @@
     host: &str,
     path: &str,
     key: &CallerKey,
-) -> Result<FoundRoute, Refusal> {
-    let route = Arc::clone(table.route(host, path).ok_or(Refusal::NoRoute)?);
+) -> Result<FoundRoute, Rejection> {
+    let route = Arc::clone(table.route(host, path).ok_or(Rejection::NoRoute)?);
     let organisation = match table.organisations.caller(key, route.is_open) {
         CallerVerdict::Anyone => None,
         CallerVerdict::Known(organisation) => Some(organisation),
-        CallerVerdict::Unknown => return Err(Refusal::UnknownKey),
+        CallerVerdict::Unknown => return Err(Rejection::UnknownKey),
     };
     Ok(FoundRoute { table, route, organisation })
 }
--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -33,7 +33,7 @@
 /// have run out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// The least read buffer the HTTP library takes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER: usize = 8 * 1024;
 
 /// Accepts callers until the process ends.
 pub async fn serve_front<C: PlatformCodec>(listener: TcpListener, state: Arc<GatewayState>) {
@@ -62,7 +62,7 @@
         // Counted from when the connection falls idle, so it must allow for
         // the longest idle time, which is the larger of the two limits.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.max_header_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
     let ended = async {
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -20,13 +20,13 @@
 use super::find_route::FoundRoute;
 use super::find_route::NEWER_RETRY;
 use super::find_route::find_route;
-use crate::belief::organisation_digest;
+use crate::cluster::organisation_digest;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::forward::Call;
 use crate::forward::GatewayBody;
 use crate::forward::QuotaCharge;
-use crate::forward::Refusal;
+use crate::forward::Rejection;
 use crate::forward::refuse;
 use crate::model::CallHead;
 use crate::model::CallerKey;
@@ -79,13 +79,13 @@
     let mark = found.mark();
     let FoundRoute { table, route, organisation } = found;
     if request.body().size_hint().lower() > table.limits.max_body_bytes as u64 {
-        return Ok(refused(request_id, Refusal::TooLarge, None, table.version));
+        return Ok(refused(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
     C::mark_caller(&mut parts.headers, &mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
-        None => return Ok(refused(request_id, Refusal::TooLarge, None, table.version)),
+        None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
     };
     let content = ContentParts {
         method: parts.method.as_str(),
@@ -104,7 +104,7 @@
     let charge = match charge(state, organisation.as_deref(), &head) {
         Ok(charge) => charge,
         Err(after) => {
-            return Ok(refused(request_id, Refusal::QuotaSpent, Some(after), table.version));
+            return Ok(refused(request_id, Rejection::QuotaSpent, Some(after), table.version));
         }
     };
     let head_patience = head.patience;
@@ -123,7 +123,7 @@
         spec,
         config: table.version,
         arrived,
-        tried_for: state.demand.tried_for(&route.name, head_patience),
+        tried_for: state.service_queues.tried_for(&route.name, head_patience),
         deadline: arrived + allowed,
     })))
 }
@@ -171,10 +171,10 @@
     state: &GatewayState,
     request_id: &str,
     key: &CallerKey,
-    refusal: Refusal,
+    refusal: Rejection,
 ) -> ReadEnd {
     let version = state.config_version();
-    if refusal == Refusal::UnknownKey {
+    if refusal == Rejection::UnknownKey {
         let key = match key {
             CallerKey::Sent(digest) => digest.to_string(),
             CallerKey::None => "none".to_owned(),
@@ -189,8 +189,8 @@
         );
     }
     let retry_after = match refusal {
-        Refusal::NoConfiguration => Some(NO_CONFIGURATION_RETRY),
-        Refusal::ConfigUnsettled => Some(NEWER_RETRY),
+        Rejection::NoConfiguration => Some(NO_CONFIGURATION_RETRY),
+        Rejection::ConfigUnsettled => Some(NEWER_RETRY),
         _ => None,
     };
     refused(request_id, refusal, retry_after, version)
@@ -214,7 +214,7 @@
 
 fn refused(
     request_id: &str,
-    refusal: Refusal,
+    refusal: Rejection,
     retry_after: Option<Duration>,
     config: u64,
 ) -> ReadEnd {
--- a/crates/gateway/src/duty/claim.rs
+++ b/crates/gateway/src/leader/claim.rs
@@ -12,7 +12,7 @@
 
 /// Who may give orders, until when by the store's own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct DutyRow {
+pub struct LeaderRow {
     pub holder: String,
     pub until: Duration,
 }
@@ -23,6 +23,6 @@
 /// would undo the other's change, and an engine that does not check fencing
 /// numbers obeys both. A holder that froze finds its own claim too old by
 /// its own clock; one that died is waited for.
-pub fn may_claim(row: Option<&DutyRow>, store_time: Duration) -> bool {
+pub fn may_claim(row: Option<&LeaderRow>, store_time: Duration) -> bool {
     row.is_none_or(|row| row.until <= store_time)
 }
--- a/crates/gateway/src/duty/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::claim::DutyRow;
 use super::claim::LEASE_TIME;
+use super::claim::LeaderRow;
 use super::claim::may_claim;
 use super::order::give_order;
-use crate::belief::StageChange;
-use crate::belief::StageLook;
-use crate::belief::StageWatch;
-use crate::belief::stage_choice;
-use crate::belief::stage_look;
+use crate::cluster::StageChange;
+use crate::cluster::StageSnapshot;
+use crate::cluster::StageWatch;
+use crate::cluster::choose_stage_change;
+use crate::cluster::stage_snapshot;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::forward::send_target;
@@ -41,7 +41,7 @@
 const STAGES_KEY: &str = "stages";
 
 /// Keeps the pools in shape, for good.
-pub async fn keep_stages<C: PlatformCodec>(state: Arc<GatewayState>) {
+pub async fn run_stage_controller<C: PlatformCodec>(state: Arc<GatewayState>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let mut watches: HashMap<ServiceName, StageWatch> = HashMap::new();
     loop {
@@ -62,12 +62,17 @@
     }
 }
 
-fn look(state: &GatewayState, service: &ServiceName, spec: &EngineSpec, now: Instant) -> StageLook {
-    let own = state.demand.with_line(service, |line| line.len());
+fn look(
+    state: &GatewayState,
+    service: &ServiceName,
+    spec: &EngineSpec,
+    now: Instant,
+) -> StageSnapshot {
+    let own = state.service_queues.with_line(service, |line| line.len());
     let waiting = own + state.other_lines(service).waiting as usize;
-    let look = stage_look(&state.fleet(), service, waiting, now);
+    let look = stage_snapshot(&state.fleet(), service, waiting, now);
     let wanted = state.learned(service).balance.wanted_readers(look.engines(), spec);
-    StageLook { wanted, ..look }
+    StageSnapshot { wanted, ..look }
 }
 
 fn is_ours(state: &GatewayState, now: Instant) -> bool {
@@ -79,7 +84,7 @@
     state: &Arc<GatewayState>,
     client: &mut StoreClient<C>,
     service: &ServiceName,
-    look: StageLook,
+    look: StageSnapshot,
     change: StageChange,
 ) {
     let begun = waking_clock();
@@ -95,7 +100,7 @@
         }
     };
     log_claim(service, look, change, "claimed");
-    let chosen = stage_choice(&state.fleet(), service, change, Instant::now());
+    let chosen = choose_stage_change(&state.fleet(), service, change, Instant::now());
     for server in chosen {
         if state.fleet().has_limit(&server) {
             continue;
@@ -137,7 +142,7 @@
         return Ok(None);
     }
     let until = batch.store_time + LEASE_TIME;
-    let claimed = DutyRow { holder: state.settings.instance.clone(), until };
+    let claimed = LeaderRow { holder: state.settings.instance.clone(), until };
     let value = postcard::to_allocvec(&claimed).expect("encoding plain fields");
     let version = row.map_or(0, |row| row.version);
     client.claim(StoreTable::Duties, STAGES_KEY, &value, version).await
@@ -145,7 +150,7 @@
 
 /// The claim that `row` holds. One that can't be read counts as none: nobody
 /// could ever renew it or wait for its end.
-fn known_claim(row: &StoreRow) -> Option<DutyRow> {
+fn known_claim(row: &StoreRow) -> Option<LeaderRow> {
     let RowValue::Held(value) = &row.value else { return None };
     match postcard::from_bytes(value) {
         Ok(claim) => Some(claim),
@@ -156,7 +161,7 @@
     }
 }
 
-fn log_claim(service: &ServiceName, look: StageLook, change: StageChange, outcome: &str) {
+fn log_claim(service: &ServiceName, look: StageSnapshot, change: StageChange, outcome: &str) {
     tracing::info!(
         event = events::DUTY_CLAIMED,
         %service,
--- a/crates/gateway/src/duty/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -7,7 +7,7 @@
 mod keeper;
 mod order;
 
-pub use self::claim::DutyRow;
 pub use self::claim::LEASE_TIME;
+pub use self::claim::LeaderRow;
 pub use self::claim::may_claim;
-pub use self::keeper::keep_stages;
+pub use self::keeper::run_stage_controller;
--- a/crates/gateway/src/work_hold.rs
+++ b/crates/gateway/src/load_guard.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::belief::LoadShare;
+use crate::cluster::LoadShare;
 use crate::model::ServerIncarnation;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
@@ -16,7 +16,7 @@
 /// Counts one request at a server until dropped, however the request ends:
 /// a count that stayed behind would keep the server looking full.
 #[derive(Debug)]
-pub struct WorkHold {
+pub struct LoadGuard {
     state: Arc<GatewayState>,
     pub server: ServerKey,
     /// The start of the server at which it counts; `None` for an unknown one.
@@ -25,13 +25,13 @@
     begun: Instant,
 }
 
-impl WorkHold {
+impl LoadGuard {
     /// Counts `work` at `server` from now on.
     pub fn begin(state: &Arc<GatewayState>, server: ServerKey, work: LoadShare) -> Self {
         let begun = Instant::now();
         let incarnation = state.fleet().begin(&server, work, begun);
         tell(state, work);
-        WorkHold { state: Arc::clone(state), server, incarnation, work, begun }
+        LoadGuard { state: Arc::clone(state), server, incarnation, work, begun }
     }
 
     /// How long it has been counted.
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for WorkHold {
+impl Drop for LoadGuard {
     fn drop(&mut self) {
         if let Some(incarnation) = self.incarnation {
             self.state.fleet().end(&self.server, incarnation, self.work);
--- a/crates/gateway/src/model/config_copy.rs
+++ b/crates/gateway/src/model/config_copy.rs
@@ -7,7 +7,7 @@
 
 use super::CallerLimits;
 use super::ConfigVersion;
-use super::OrganisationBook;
+use super::OrganisationRegistry;
 use super::Route;
 use super::RouteTable;
 use super::ServiceName;
@@ -23,7 +23,7 @@
     routes: Vec<Route>,
     services: HashMap<ServiceName, ServiceSpec>,
     limits: CallerLimits,
-    organisations: OrganisationBook,
+    organisations: OrganisationRegistry,
 }
 
 impl ConfigCopy {
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -2,7 +2,6 @@
 //! project's own terms. An adapter fills these types; nothing here depends
 //! on how a platform spells them.
 
-mod call_content;
 mod call_head;
 mod caller_key;
 mod caller_mark;
@@ -13,16 +12,16 @@
 mod key_digest;
 mod onward_order;
 mod organisation;
-mod organisation_book;
+mod organisation_registry;
 mod quota_limit;
 mod reply_head;
+mod request_fingerprint;
 mod request_rate;
 mod route_table;
 mod server_entry;
 mod stage_order;
 mod store_row;
 
-pub use self::call_content::ContentParts;
 pub use self::call_head::CallHead;
 pub use self::call_head::PromptShape;
 pub use self::caller_key::CallerKey;
@@ -37,13 +36,14 @@
 pub use self::onward_order::OnwardOrder;
 pub use self::onward_order::SendPurpose;
 pub use self::organisation::Organisation;
-pub use self::organisation_book::CallerVerdict;
-pub use self::organisation_book::OrganisationBook;
+pub use self::organisation_registry::CallerVerdict;
+pub use self::organisation_registry::OrganisationRegistry;
 pub use self::quota_limit::QuotaLimit;
 pub use self::quota_limit::QuotaUnit;
 pub use self::reply_head::PrefillResult;
 pub use self::reply_head::ReplyHead;
 pub use self::reply_head::ReportedLoad;
+pub use self::request_fingerprint::ContentParts;
 pub use self::request_rate::RequestRate;
 pub use self::route_table::CallKind;
 pub use self::route_table::CallerLimits;
@@ -70,7 +70,7 @@
 pub type ServerIncarnation = u64;
 /// A digest of what a request asks and of who asks it: the same when the request
 /// comes again under another id.
-pub type CallContent = u64;
+pub type RequestFingerprint = u64;
 /// A service's name, as in the configuration.
 pub type ServiceName = Arc<str>;
 /// An organisation's name, as in the configuration.
--- a/crates/gateway/src/model/organisation_book.rs
+++ b/crates/gateway/src/model/organisation_registry.rs
@@ -23,13 +23,13 @@
 
 /// The organisations of one configuration.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct OrganisationBook {
+pub struct OrganisationRegistry {
     organisations: Vec<Arc<Organisation>>,
     /// Places in `organisations`, by key.
     keys: HashMap<KeyDigest, usize>,
 }
 
-impl OrganisationBook {
+impl OrganisationRegistry {
     /// Adds an organisation that holds `keys`.
     pub fn add(&mut self, organisation: Organisation, keys: impl IntoIterator<Item = KeyDigest>) {
         let place = self.organisations.len();
--- a/crates/gateway/src/model/call_content.rs
+++ b/crates/gateway/src/model/request_fingerprint.rs
@@ -1,6 +1,6 @@
 //! What makes two requests the same.
 
-use super::CallContent;
+use super::RequestFingerprint;
 
 /// The parts of a request that come again when its caller repeats it. Its id,
 /// its deadline and where it resumes are each try's own.
@@ -18,7 +18,7 @@
 impl ContentParts<'_> {
     /// The same for requests that are the same. Each part's digest seeds the
     /// next, so that no part's end can pass for the beginning of another.
-    pub fn digest(&self) -> CallContent {
+    pub fn digest(&self) -> RequestFingerprint {
         let parts = [
             self.method.as_bytes(),
             self.host.as_bytes(),
--- a/crates/gateway/src/model/route_table.rs
+++ b/crates/gateway/src/model/route_table.rs
@@ -11,7 +11,7 @@
 
 use super::ConfigVersion;
 use super::EngineSpec;
-use super::OrganisationBook;
+use super::OrganisationRegistry;
 use super::ServiceName;
 
 /// What may be repeated of a route's requests.
@@ -122,7 +122,7 @@
     pub version: ConfigVersion,
     pub services: HashMap<ServiceName, ServiceSpec>,
     pub limits: CallerLimits,
-    pub organisations: OrganisationBook,
+    pub organisations: OrganisationRegistry,
     /// Invariant: within a host, longer prefixes first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
 }
@@ -142,12 +142,12 @@
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let organisations = OrganisationBook::default();
+        let organisations = OrganisationRegistry::default();
         RouteTable { version, services, limits, organisations, hosts }
     }
 
     /// The table with `organisations`, whose callers need keys.
-    pub fn with_organisations(self, organisations: OrganisationBook) -> Self {
+    pub fn with_organisations(self, organisations: OrganisationRegistry) -> Self {
         RouteTable { organisations, ..self }
     }
 
--- a/crates/gateway/src/peers/config_copies.rs
+++ b/crates/gateway/src/peers/config_copies.rs
@@ -30,7 +30,7 @@
 /// The pause after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 /// The largest copy taken, in bytes.
-const MOST_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Hands the configuration in force to each gateway that connects, for good.
 pub async fn serve_copies(state: Arc<GatewayState>, listener: TcpListener) {
@@ -91,7 +91,7 @@
     let read = async {
         let stream = TcpStream::connect(peer).await?;
         let mut bytes = Vec::new();
-        stream.take(MOST_BYTES).read_to_end(&mut bytes).await?;
+        stream.take(MAX_BYTES).read_to_end(&mut bytes).await?;
         Ok::<_, io::Error>(bytes)
     };
     let bytes = by_deadline(Instant::now() + COPY_TIME, read)
