--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -10,8 +10,8 @@
 //! a row sees it and reads for itself.
 
 mod config_copies;
-mod far_turn;
-mod peer_book;
+mod peer_registry;
+mod remote_peer_cycle;
 mod report;
 mod report_loop;
 mod row_loop;
@@ -19,9 +19,9 @@
 
 pub use self::config_copies::serve_copies;
 pub use self::config_copies::take_copies;
-pub use self::far_turn::FarTurn;
-pub use self::peer_book::PeerBook;
-pub use self::peer_book::PeerGroups;
+pub use self::peer_registry::PeerGroups;
+pub use self::peer_registry::PeerRegistry;
+pub use self::remote_peer_cycle::RemotePeerCycle;
 pub use self::report::LoadReport;
 pub use self::report::PeerMessage;
 pub use self::report::TableRows;
--- a/crates/gateway/src/peers/peer_book.rs
+++ b/crates/gateway/src/peers/peer_registry.rs
@@ -5,8 +5,8 @@
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-use crate::belief::server_digest;
-use crate::belief::shares_shard;
+use crate::cluster::server_digest;
+use crate::cluster::shares_shard;
 
 /// The other gateways' addresses.
 #[derive(Debug, Default)]
@@ -27,11 +27,11 @@
 
 /// Gateways' names and addresses, this one's included.
 #[derive(Debug, Default)]
-pub struct PeerBook {
+pub struct PeerRegistry {
     entries: Mutex<HashMap<String, PeerEntry>>,
 }
 
-impl PeerBook {
+impl PeerRegistry {
     /// Notes a gateway; true when it was not known at that address.
     pub fn insert(&self, peer: &str, address: SocketAddr) -> bool {
         let mut entries = self.entries();
--- a/crates/gateway/src/peers/far_turn.rs
+++ b/crates/gateway/src/peers/remote_peer_cycle.rs
@@ -7,16 +7,16 @@
 /// Goes round the far gateways, a few with each regular report, so that each is told
 /// once in a pace and nobody's link gets all at a time.
 #[derive(Debug)]
-pub struct FarTurn {
+pub struct RemotePeerCycle {
     /// The last that was told.
     last: Option<SocketAddr>,
     told_at: Instant,
 }
 
-impl FarTurn {
+impl RemotePeerCycle {
     /// A turn that begins at `now`.
     pub fn new(now: Instant) -> Self {
-        FarTurn { last: None, told_at: now }
+        RemotePeerCycle { last: None, told_at: now }
     }
 
     /// Those of `far`, which is sorted, to be told now: all in `pace`.
--- a/crates/gateway/src/peers/report.rs
+++ b/crates/gateway/src/peers/report.rs
@@ -3,16 +3,16 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::belief::BackoffNews;
-use crate::belief::ChargeNews;
-use crate::belief::EngineLearning;
-use crate::belief::LimitNews;
-use crate::belief::LineNews;
-use crate::belief::LoadShare;
-use crate::belief::OrganisationDigest;
-use crate::belief::OutcomeNews;
-use crate::belief::PeerReach;
-use crate::belief::RetryCount;
+use crate::cluster::BackoffUpdate;
+use crate::cluster::ChargeUpdate;
+use crate::cluster::EngineEstimates;
+use crate::cluster::LimitUpdate;
+use crate::cluster::LoadShare;
+use crate::cluster::OrganisationDigest;
+use crate::cluster::OutcomeUpdate;
+use crate::cluster::PeerReach;
+use crate::cluster::QueueUpdate;
+use crate::cluster::RetryCount;
 use crate::model::ConfigVersion;
 use crate::model::ServerIncarnation;
 use crate::model::StoreRow;
@@ -36,7 +36,7 @@
     /// Servers this gateway passes over after failures of its own.
     pub aside: Vec<u64>,
     /// Requests waiting for engines' room; services by their digest.
-    pub lines: Vec<(u64, LineNews)>,
+    pub lines: Vec<(u64, QueueUpdate)>,
     /// Milliseconds for which this gateway has read the servers' table
     /// without an outage.
     pub store_calm_ms: u64,
@@ -44,25 +44,25 @@
     pub changing: Vec<u64>,
     /// What this gateway has learned of engines, by service; `None` in most
     /// reports, since it changes slowly.
-    pub learned: Option<Vec<(u64, EngineLearning)>>,
+    pub learned: Option<Vec<(u64, EngineEstimates)>>,
     /// The configuration in force here; 0 while none is known.
     pub config: ConfigVersion,
     /// Tables of the store that this gateway reads for all.
     pub tables: Vec<TableNotice>,
     /// Units charged to organisations' quotas since this incarnation began, by the
     /// digests of their names.
-    pub charges: Vec<(OrganisationDigest, ChargeNews)>,
+    pub charges: Vec<(OrganisationDigest, ChargeUpdate)>,
     /// Milliseconds for which this incarnation has run.
     pub age_ms: u64,
     /// What became of sends of contents under which servers may crash.
-    pub outcomes: Vec<OutcomeNews>,
+    pub outcomes: Vec<OutcomeUpdate>,
     /// Rate limits that servers state.
-    pub limits: Vec<LimitNews>,
+    pub limits: Vec<LimitUpdate>,
     /// Servers that have stated that they are leaving.
     pub departures: Vec<ServerIncarnation>,
     /// Backoffs that servers request from this gateway, and from gateways that have just
     /// started.
-    pub backoffs: Vec<BackoffNews>,
+    pub backoffs: Vec<BackoffUpdate>,
 }
 
 /// Rows of one table that one gateway has read and that say something new.
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -7,18 +7,18 @@
 
 use smol::net::UdpSocket;
 
-use super::FarTurn;
 use super::LoadReport;
-use super::PeerBook;
 use super::PeerGroups;
 use super::PeerMessage;
+use super::PeerRegistry;
+use super::RemotePeerCycle;
 use super::SendBudget;
-use crate::belief::FAR_PACE;
-use crate::belief::PeerNews;
-use crate::belief::PeerReach;
-use crate::belief::READER_PACE;
-use crate::belief::report_pace;
-use crate::belief::server_digest;
+use crate::cluster::FAR_PACE;
+use crate::cluster::PeerReach;
+use crate::cluster::PeerUpdate;
+use crate::cluster::READER_PACE;
+use crate::cluster::report_interval;
+use crate::cluster::server_digest;
 use crate::events;
 use crate::model::StoreTable;
 use crate::state::GatewayState;
@@ -41,16 +41,16 @@
 ///
 /// Guards against gateways that choose the same engine's last place: with a
 /// view 200 ms old, 79 of them had a third of their streams refused.
-pub async fn send_reports(state: Arc<GatewayState>, book: Arc<PeerBook>, socket: UdpSocket) {
+pub async fn send_reports(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
     let incarnation = fastrand::u64(..);
     let mut budget = SendBudget::new(Instant::now());
-    let mut far_turn = FarTurn::new(Instant::now());
+    let mut remote_peer_cycle = RemotePeerCycle::new(Instant::now());
     let mut learning_due = Instant::now();
     for sequence in 1.. {
         let changed = state.work_changed.listen();
         let shards = state.fleet().peer_shards();
         let PeerGroups { near, .. } = book.groups(&state.settings.instance, shards);
-        let due = Instant::now() + report_pace(near.len());
+        let due = Instant::now() + report_interval(near.len());
         if by_deadline(due, changed).await.is_some() {
             smol::Timer::at(budget.send_at(near.len(), due, Instant::now())).await;
         }
@@ -63,7 +63,7 @@
         }
         let report = report(&state, incarnation, sequence, tells_learned, &newcomers);
         let pace = if report.tables.is_empty() { FAR_PACE } else { READER_PACE };
-        let told = far_turn.next(&far, pace, Instant::now());
+        let told = remote_peer_cycle.next(&far, pace, Instant::now());
         let far_report = (!told.is_empty()).then(|| only_for_all(&report, &state));
         send(&socket, report, &near).await;
         if let Some(report) = far_report {
@@ -93,7 +93,7 @@
     let now = Instant::now();
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
     // statement ends, so a second call in the same statement would deadlock.
-    let loads = state.fleet().own_loads_for_all();
+    let loads = state.fleet().local_loads_for_peers();
     let limits = state.fleet().limits.news(true, now);
     let departures = state.fleet().departures.news(true, now);
     let charges = state.quotas.recent_news();
@@ -127,13 +127,13 @@
 ) -> LoadReport {
     let now = Instant::now();
     // One statement a lock: a guard lives to the end of its statement.
-    let loads = state.fleet().own_loads();
-    let aside = state.fleet().own_aside(now);
-    let changing = state.fleet().own_changing(now);
+    let loads = state.fleet().local_loads();
+    let aside = state.fleet().local_ejections(now);
+    let changing = state.fleet().local_stage_changes(now);
     let store_calm = state.fleet().store_calm(now);
     let limits = state.fleet().limits.news(tells_learned, now);
     let departures = state.fleet().departures.news(tells_learned, now);
-    let backoffs = state.fleet().backoff_news(tells_learned, newcomers, now);
+    let backoffs = state.fleet().backoff_update(tells_learned, newcomers, now);
     LoadReport {
         reach: PeerReach::Near,
         peer: state.settings.instance.clone(),
@@ -143,7 +143,7 @@
         store_calm_ms: store_calm.as_millis() as u64,
         retries: state.own_retries(),
         aside,
-        lines: state.demand.own_lines(now),
+        lines: state.service_queues.own_lines(now),
         changing,
         learned: tells_learned.then(|| state.own_learning()),
         config: state.config_version(),
@@ -158,7 +158,7 @@
 }
 
 /// Takes in the other gateways' reports, for good.
-pub async fn hear_reports(state: Arc<GatewayState>, book: Arc<PeerBook>, socket: UdpSocket) {
+pub async fn hear_reports(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
     let mut buffer = vec![0; MAX_DATAGRAM];
     let mut unreadable = UnreadableLog::default();
     loop {
@@ -173,7 +173,7 @@
             },
             Err(error) => {
                 tracing::debug!(%error, "receiving a load report");
-                smol::Timer::after(report_pace(0)).await;
+                smol::Timer::after(report_interval(0)).await;
             }
         }
     }
@@ -203,7 +203,7 @@
 
 /// A gateway that is not in the book yet gets reports from now on: the table of
 /// gateways is read rarely.
-fn learn_peer(state: &GatewayState, book: &PeerBook, peer: &str, address: SocketAddr) {
+fn learn_peer(state: &GatewayState, book: &PeerRegistry, peer: &str, address: SocketAddr) {
     if peer != state.settings.instance && book.insert(peer, address) {
         state.set_members(book.len());
     }
@@ -216,7 +216,7 @@
         state.newcomers.lock().expect("newcomers lock").push(digest);
         state.work_changed.notify(1);
     }
-    let news = PeerNews {
+    let news = PeerUpdate {
         reach: report.reach,
         loads: report.loads,
         retries: report.retries,
--- a/crates/gateway/src/peers/row_loop.rs
+++ b/crates/gateway/src/peers/row_loop.rs
@@ -4,8 +4,8 @@
 
 use smol::net::UdpSocket;
 
-use super::PeerBook;
 use super::PeerMessage;
+use super::PeerRegistry;
 use super::TableRows;
 use super::report_loop::MAX_DATAGRAM;
 use crate::state::GatewayState;
@@ -15,7 +15,7 @@
 
 /// Tells the gateways in `book` of rows that this one has read for all, for
 /// good.
-pub async fn send_rows(state: Arc<GatewayState>, book: Arc<PeerBook>, socket: UdpSocket) {
+pub async fn send_rows(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
     loop {
         let told = state.readings.next_rows().await;
         let peers = book.others(&state.settings.instance);
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,7 +1,7 @@
 //! Requests that crash the servers that run them (poison requests): what this
 //! gateway knows of them, and their rows in the store.
 //!
-//! The decisions are [`CrashWatch`](crate::belief::CrashWatch)'s.
+//! The decisions are [`CrashDetector`](crate::cluster::CrashDetector)'s.
 
 mod probe_claim;
 mod quarantine_row;
--- a/crates/gateway/src/quarantine/probe_claim.rs
+++ b/crates/gateway/src/quarantine/probe_claim.rs
@@ -4,9 +4,9 @@
 
 use super::QuarantineRow;
 use super::content_key;
-use crate::belief::HeldContent;
+use crate::cluster::QuarantineStatus;
 use crate::codec::PlatformCodec;
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::model::StoreTable;
 use crate::state::GatewayState;
 use crate::store::FollowError;
@@ -25,8 +25,8 @@
 /// requests held back in the company of fatal ones would wait for the store.
 pub async fn claim_probe<C: PlatformCodec>(
     state: &GatewayState,
-    content: CallContent,
-    held: HeldContent,
+    content: RequestFingerprint,
+    held: QuarantineStatus,
 ) -> Result<bool, FollowError> {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let probes = held.probes + 1;
--- a/crates/gateway/src/quarantine/quarantine_row.rs
+++ b/crates/gateway/src/quarantine/quarantine_row.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 
 /// The row of one content, encoded by `postcard`. Its key is the content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -22,11 +22,11 @@
 }
 
 /// The key of the row of `content`.
-pub fn content_key(content: CallContent) -> String {
+pub fn content_key(content: RequestFingerprint) -> String {
     format!("{content:016x}")
 }
 
 /// The content whose row has `key`; `None` for another writer's.
-pub fn key_content(key: &str) -> Option<CallContent> {
-    CallContent::from_str_radix(key, 16).ok()
+pub fn key_content(key: &str) -> Option<RequestFingerprint> {
+    RequestFingerprint::from_str_radix(key, 16).ok()
 }
--- a/crates/gateway/src/quarantine/quarantines.rs
+++ b/crates/gateway/src/quarantine/quarantines.rs
@@ -11,21 +11,21 @@
 
 use super::QuarantineRow;
 use super::content_key;
-use crate::belief::ContentChange;
-use crate::belief::ContentVerdict;
-use crate::belief::CrashWatch;
-use crate::belief::HeldContent;
-use crate::belief::OutcomeNews;
-use crate::belief::RowChange;
+use crate::cluster::CrashDetector;
+use crate::cluster::OutcomeUpdate;
+use crate::cluster::QuarantineChange;
+use crate::cluster::QuarantineStatus;
+use crate::cluster::QuarantineVerdict;
+use crate::cluster::RowChange;
 use crate::events;
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 use crate::upstream::SendTarget;
 
 /// The contents held back, with log lines of what changes.
 #[derive(Debug)]
 pub struct Quarantines {
-    watch: Mutex<CrashWatch>,
+    watch: Mutex<CrashDetector>,
     /// Notified when rows of the store are to be written or removed.
     pub rows_due: Event,
     /// True once the store's rows have been read.
@@ -39,7 +39,7 @@
     /// Those of a process that has begun to hear the others at `begun`.
     pub fn new(begun: Instant) -> Self {
         Quarantines {
-            watch: Mutex::new(CrashWatch::new(begun)),
+            watch: Mutex::new(CrashDetector::new(begun)),
             rows_due: Event::new(),
             is_read: AtomicBool::new(false),
             claimant: fastrand::u64(1..),
@@ -51,7 +51,7 @@
     pub fn note_crash(
         &self,
         request_id: &str,
-        content: CallContent,
+        content: RequestFingerprint,
         target: &SendTarget,
         lived: Duration,
     ) -> bool {
@@ -77,14 +77,14 @@
 
     /// A request of `content` was answered whole by `target`; true when that
     /// changes what is held back.
-    pub fn note_whole(&self, content: CallContent, target: &SendTarget) -> bool {
+    pub fn note_whole(&self, content: RequestFingerprint, target: &SendTarget) -> bool {
         let change = self.watch().note_whole(content, target.incarnation, Instant::now());
         self.log_change(content, change, "own")
     }
 
     /// Takes in what another gateway tells; true when that changes what is held
     /// back.
-    pub fn hear(&self, news: OutcomeNews) -> bool {
+    pub fn hear(&self, news: OutcomeUpdate) -> bool {
         let change = self.watch().hear(news, Instant::now());
         self.log_change(news.content, change, "gateway")
     }
@@ -92,7 +92,7 @@
     /// Takes in a content's row; true when that changes what is held back.
     pub fn note_row(
         &self,
-        content: CallContent,
+        content: RequestFingerprint,
         row: QuarantineRow,
         version: StoreVersion,
     ) -> bool {
@@ -102,13 +102,13 @@
     }
 
     /// The store holds no row of `content` as of `version`.
-    pub fn note_no_row(&self, content: CallContent, version: StoreVersion) {
+    pub fn note_no_row(&self, content: RequestFingerprint, version: StoreVersion) {
         let change = self.watch().note_no_row(content, version, Instant::now());
         self.log_change(content, change, "store");
     }
 
     /// The contents whose rows are known.
-    pub fn rows(&self) -> Vec<CallContent> {
+    pub fn rows(&self) -> Vec<RequestFingerprint> {
         self.watch().rows()
     }
 
@@ -124,7 +124,7 @@
 
     /// Decides on a request that has just come, also by what was heard while
     /// this process was too young to judge it.
-    pub fn admit(&self, content: CallContent) -> ContentVerdict {
+    pub fn admit(&self, content: RequestFingerprint) -> QuarantineVerdict {
         let now = Instant::now();
         let change = self.watch().judge(content, now);
         self.log_change(content, change, "gateway");
@@ -132,32 +132,32 @@
     }
 
     /// The probe of `content` that this gateway has claimed goes out.
-    pub fn begin_probe(&self, content: CallContent) {
+    pub fn begin_probe(&self, content: RequestFingerprint) {
         self.watch().begin_probe(content);
     }
 
     /// The request that was the probe is over.
-    pub fn end_probe(&self, content: CallContent) {
+    pub fn end_probe(&self, content: RequestFingerprint) {
         self.watch().end_probe(content, Instant::now());
     }
 
     /// The claim of the probe of `content` failed.
-    pub fn end_claim(&self, content: CallContent) {
+    pub fn end_claim(&self, content: RequestFingerprint) {
         self.watch().end_claim(content, Instant::now());
     }
 
     /// This gateway makes the probe that is due without a claim.
-    pub fn note_unclaimed_probe(&self, content: CallContent) {
+    pub fn note_unclaimed_probe(&self, content: RequestFingerprint) {
         self.watch().note_unclaimed_probe(content, Instant::now());
     }
 
     /// How `content` is held back; `None` when it is not.
-    pub fn held(&self, content: CallContent) -> Option<HeldContent> {
+    pub fn held(&self, content: RequestFingerprint) -> Option<QuarantineStatus> {
         self.watch().held(content, Instant::now())
     }
 
     /// What a report tells the other gateways.
-    pub fn news(&self, tells_all: bool) -> Vec<OutcomeNews> {
+    pub fn news(&self, tells_all: bool) -> Vec<OutcomeUpdate> {
         self.watch().news(tells_all, Instant::now())
     }
 
@@ -180,31 +180,36 @@
         metrics::gauge!("umberglade_contents_watched").set(watch.len() as f64);
         drop(watch);
         for content in forgotten {
-            self.log_change(content, Some(ContentChange::Forgotten), "time");
+            self.log_change(content, Some(QuarantineChange::Forgotten), "time");
         }
     }
 
-    fn watch(&self) -> MutexGuard<'_, CrashWatch> {
+    fn watch(&self) -> MutexGuard<'_, CrashDetector> {
         self.watch.lock().expect("watch lock")
     }
 
     /// Logs a change, from whom it is known; true if there is one.
     fn log_change(
         &self,
-        content: CallContent,
-        change: Option<ContentChange>,
+        content: RequestFingerprint,
+        change: Option<QuarantineChange>,
         known_by: &'static str,
     ) -> bool {
         let let_off = self.watch().take_let_off();
         for content in &let_off {
-            self.write_change(*content, ContentChange::Cleared, "others' crashes");
+            self.write_change(*content, QuarantineChange::Cleared, "others' crashes");
         }
         let Some(change) = change else { return !let_off.is_empty() };
         self.write_change(content, change, known_by);
         true
     }
 
-    fn write_change(&self, content: CallContent, change: ContentChange, known_by: &'static str) {
+    fn write_change(
+        &self,
+        content: RequestFingerprint,
+        change: QuarantineChange,
+        known_by: &'static str,
+    ) {
         let held = self.held(content);
         tracing::warn!(
             event = events::CONTENT_CHANGED,
--- a/crates/gateway/src/quarantine/row_keeper.rs
+++ b/crates/gateway/src/quarantine/row_keeper.rs
@@ -5,10 +5,10 @@
 
 use super::QuarantineRow;
 use super::content_key;
-use crate::belief::RowChange;
+use crate::cluster::RowChange;
 use crate::codec::PlatformCodec;
 use crate::events;
-use crate::model::CallContent;
+use crate::model::RequestFingerprint;
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
@@ -60,7 +60,7 @@
 async fn write<C: PlatformCodec>(
     state: &GatewayState,
     client: &mut StoreClient<C>,
-    content: CallContent,
+    content: RequestFingerprint,
 ) -> Result<bool, FollowError> {
     let held = state.quarantines.held(content).filter(|held| held.version == 0);
     let Some(held) = held else { return Ok(false) };
@@ -75,7 +75,7 @@
 
 async fn remove<C: PlatformCodec>(
     client: &mut StoreClient<C>,
-    content: CallContent,
+    content: RequestFingerprint,
     version: StoreVersion,
 ) -> Result<bool, FollowError> {
     client.remove(StoreTable::Quarantines, &content_key(content), version).await
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::belief::FAR_PACE;
-use crate::belief::QuotaView;
-use crate::belief::report_pace;
+use crate::cluster::FAR_PACE;
+use crate::cluster::QuotaView;
+use crate::cluster::report_interval;
 use crate::state::GatewayState;
 
 /// A gateway not heard for longer does not count when a quota is given out: four
@@ -36,7 +36,7 @@
         let now = Instant::now();
         let QuotaPeers { heard, hears_far, .. } = self.quota_peers(now);
         let unheard_for = self.fleet().peers.unheard_for(now);
-        let pace = if hears_far { FAR_PACE } else { report_pace(heard) };
+        let pace = if hears_far { FAR_PACE } else { report_interval(heard) };
         let report_age = pace + REPORT_DELAY;
         QuotaView {
             heard,
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -7,18 +7,18 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::belief::ChargeNews;
-use crate::belief::OrganisationDigest;
-use crate::belief::QuotaPool;
-use crate::belief::QuotaView;
-use crate::belief::organisation_digest;
+use crate::cluster::ChargeUpdate;
+use crate::cluster::OrganisationDigest;
+use crate::cluster::QuotaPool;
+use crate::cluster::QuotaView;
+use crate::cluster::organisation_digest;
 use crate::events;
 use crate::model::ConfigVersion;
 use crate::model::Organisation;
-use crate::model::OrganisationBook;
+use crate::model::OrganisationRegistry;
 
 /// Organisations with metrics of their own; the others share one label.
-const MOST_LABELS: usize = 32;
+const MAX_LABELS: usize = 32;
 /// The label of the others.
 const OTHER: &str = "other";
 
@@ -39,14 +39,14 @@
     /// A configuration with `organisations` is in force.
     pub fn set_limits(
         &self,
-        organisations: &OrganisationBook,
+        organisations: &OrganisationRegistry,
         version: ConfigVersion,
         view: &QuotaView,
     ) {
         let changed = self.pool().set_limits(organisations, view, Instant::now());
         let mut labels = self.labels.lock().expect("labels lock");
         for organisation in organisations.iter() {
-            if labels.len() >= MOST_LABELS {
+            if labels.len() >= MAX_LABELS {
                 break;
             }
             let digest = organisation_digest(&organisation.name);
@@ -117,19 +117,19 @@
         peer: u64,
         incarnation: u64,
         age: Duration,
-        charges: &[(OrganisationDigest, ChargeNews)],
+        charges: &[(OrganisationDigest, ChargeUpdate)],
         view: &QuotaView,
     ) {
         self.pool().hear(peer, incarnation, age, charges, view, Instant::now());
     }
 
     /// What a report tells the other gateways.
-    pub fn news(&self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeNews)> {
+    pub fn news(&self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         self.pool().news(tells_all)
     }
 
     /// What a report tells gateways that are told rarely.
-    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeNews)> {
+    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         self.pool().recent_news()
     }
 
--- a/crates/gateway/src/demand.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -6,42 +6,42 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::belief::EngineLearning;
-use crate::belief::LineNews;
-use crate::belief::OpeningTime;
-use crate::belief::OutputGuess;
-use crate::belief::StageBalance;
-use crate::belief::UsualPatience;
-use crate::belief::WaitingLine;
-use crate::belief::server_digest;
+use crate::cluster::AdmissionQueue;
+use crate::cluster::EngineEstimates;
+use crate::cluster::FirstEventTime;
+use crate::cluster::OutputEstimate;
+use crate::cluster::QueueUpdate;
+use crate::cluster::StageBalance;
+use crate::cluster::TypicalTimeout;
+use crate::cluster::server_digest;
 use crate::model::ServiceName;
 
 /// Callers' demand as this gateway sees it.
 ///
 /// Lock order: none is ever held together with another.
 #[derive(Debug, Default)]
-pub struct CallerDemand {
-    lines: Mutex<HashMap<ServiceName, WaitingLine>>,
-    outputs: Mutex<HashMap<ServiceName, OutputGuess>>,
+pub struct ServiceQueues {
+    lines: Mutex<HashMap<ServiceName, AdmissionQueue>>,
+    outputs: Mutex<HashMap<ServiceName, OutputEstimate>>,
     balances: Mutex<HashMap<ServiceName, StageBalance>>,
-    openings: Mutex<HashMap<ServiceName, OpeningTime>>,
+    openings: Mutex<HashMap<ServiceName, FirstEventTime>>,
     /// By the route's name.
-    patience: Mutex<HashMap<String, UsualPatience>>,
+    patience: Mutex<HashMap<String, TypicalTimeout>>,
 }
 
-impl CallerDemand {
+impl ServiceQueues {
     /// Runs `change` on the waiting line of `service`.
     pub fn with_line<T>(
         &self,
         service: &ServiceName,
-        change: impl FnOnce(&mut WaitingLine) -> T,
+        change: impl FnOnce(&mut AdmissionQueue) -> T,
     ) -> T {
         let mut lines = self.lines.lock().expect("lines lock");
         change(lines.entry(service.clone()).or_default())
     }
 
     /// This gateway's waiting lines, by service.
-    pub fn own_lines(&self, now: Instant) -> Vec<(u64, LineNews)> {
+    pub fn own_lines(&self, now: Instant) -> Vec<(u64, QueueUpdate)> {
         let lines = self.lines.lock().expect("lines lock");
         lines
             .iter()
@@ -53,7 +53,7 @@
     pub fn with_outputs<T>(
         &self,
         service: &ServiceName,
-        change: impl FnOnce(&mut OutputGuess) -> T,
+        change: impl FnOnce(&mut OutputEstimate) -> T,
     ) -> T {
         let mut outputs = self.outputs.lock().expect("outputs lock");
         change(outputs.entry(service.clone()).or_default())
@@ -73,15 +73,15 @@
     pub fn with_opening<T>(
         &self,
         service: &ServiceName,
-        change: impl FnOnce(&mut OpeningTime) -> T,
+        change: impl FnOnce(&mut FirstEventTime) -> T,
     ) -> T {
         let mut openings = self.openings.lock().expect("openings lock");
         change(openings.entry(service.clone()).or_default())
     }
 
     /// What this gateway's own streams of `service` were like.
-    pub fn learned(&self, service: &ServiceName) -> EngineLearning {
-        EngineLearning {
+    pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
+        EngineEstimates {
             outputs: self.with_outputs(service, |outputs| *outputs),
             balance: self.with_balance(service, |balance| *balance),
             opening: self.with_opening(service, |opening| *opening),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -14,18 +14,18 @@
 use umberglade_wire::pool;
 
 use crate::codec::PlatformCodec;
-use crate::duty::keep_stages;
 use crate::events;
 use crate::ingress;
+use crate::leader::run_stage_controller;
 use crate::model::GatewaySettings;
 use crate::model::StoreTable;
 use crate::peers;
-use crate::peers::PeerBook;
+use crate::peers::PeerRegistry;
 use crate::quarantine;
 use crate::state::GatewayState;
 use crate::stop::FLUSH_TIME;
 use crate::stop::GRACE_MARGIN;
-use crate::stop::LEAST_STOP;
+use crate::stop::MIN_STOP;
 use crate::store::ConfigSink;
 use crate::store::MemberRow;
 use crate::store::MemberSink;
@@ -88,7 +88,7 @@
     settings.peer = socket.local_addr().context(BindSnafu { address })?;
     let copies = bind_copies(settings.peer).await;
     let state = GatewayState::new(settings, metrics);
-    let book = Arc::new(PeerBook::default());
+    let book = Arc::new(PeerRegistry::default());
     follow::<C>(&state);
     pool::spawn(register::<C>(Arc::clone(&state), Arc::clone(&book)));
     pool::spawn(peers::send_reports(Arc::clone(&state), Arc::clone(&book), socket.clone()));
@@ -98,7 +98,7 @@
         pool::spawn(peers::serve_copies(Arc::clone(&state), copies));
     }
     pool::spawn(peers::take_copies(Arc::clone(&state)));
-    pool::spawn(keep_stages::<C>(Arc::clone(&state)));
+    pool::spawn(run_stage_controller::<C>(Arc::clone(&state)));
     pool::spawn(quarantine::keep_rows::<C>(Arc::clone(&state)));
     pool::spawn(tick(Arc::clone(&state)));
     pool::spawn(ingress::serve_front::<C>(front, Arc::clone(&state)));
@@ -129,7 +129,7 @@
     state.stop.begin(begun);
     tracing::info!(event = events::STOP_BEGUN, in_flight = state.flights.requests(), "stop begun");
     let latest = begun + state.settings.stop_grace.saturating_sub(GRACE_MARGIN);
-    smol::Timer::at((begun + LEAST_STOP).min(latest)).await;
+    smol::Timer::at((begun + MIN_STOP).min(latest)).await;
     loop {
         while state.flights.is_busy() && Instant::now() < latest {
             smol::Timer::after(BUSY_PAUSE).await;
@@ -228,7 +228,7 @@
 /// row is the same for each start of the instance, so writing it twice
 /// (after a lost answer) changes nothing. The others are read after that: of
 /// two gateways that start together one at least reads of the other.
-async fn register<C: PlatformCodec>(state: Arc<GatewayState>, book: Arc<PeerBook>) {
+async fn register<C: PlatformCodec>(state: Arc<GatewayState>, book: Arc<PeerRegistry>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let member = MemberRow { address: state.settings.peer };
     let row = postcard::to_allocvec(&member).expect("encoding an address");
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -13,27 +13,27 @@
 use event_listener::Event;
 use metrics_exporter_prometheus::PrometheusHandle;
 
-use crate::belief::ConfigWatch;
-use crate::belief::EngineLearning;
-use crate::belief::Fleet;
-use crate::belief::FleetChange;
-use crate::belief::InForce;
-use crate::belief::OtherLines;
-use crate::belief::RetryAllowance;
-use crate::belief::RetryCount;
-use crate::belief::RetryUse;
-use crate::belief::ServerOutcome;
-use crate::belief::server_digest;
-use crate::demand::CallerDemand;
+use crate::cluster::ConfigWatch;
+use crate::cluster::EngineEstimates;
+use crate::cluster::Fleet;
+use crate::cluster::FleetChange;
+use crate::cluster::InForce;
+use crate::cluster::PeerQueues;
+use crate::cluster::RetryBudget;
+use crate::cluster::RetryCount;
+use crate::cluster::RetryVerdict;
+use crate::cluster::ServerOutcome;
+use crate::cluster::server_digest;
 use crate::events;
-use crate::flight_count::FlightCount;
-use crate::model::CallContent;
+use crate::in_flight_count::InFlightCount;
 use crate::model::ConfigVersion;
 use crate::model::GatewaySettings;
+use crate::model::RequestFingerprint;
 use crate::model::ServiceName;
 use crate::quarantine::Quarantines;
 use crate::quota::QuotaPeers;
 use crate::quota::Quotas;
+use crate::service_queues::ServiceQueues;
 use crate::stop::GRACE_MARGIN;
 use crate::stop::LAST_CALL;
 use crate::stop::StopSwitch;
@@ -53,8 +53,8 @@
     pub metrics: Option<PrometheusHandle>,
     pub pool: ConnectionPool,
     pub stop: StopSwitch,
-    pub flights: FlightCount,
-    pub demand: CallerDemand,
+    pub flights: InFlightCount,
+    pub service_queues: ServiceQueues,
     /// Notified when streams begin, end or wait, which the other gateways
     /// are told at once.
     pub work_changed: Event,
@@ -77,7 +77,7 @@
     /// The gateway that told last of a newer configuration, and its version.
     pub(crate) config_source: Mutex<Option<(SocketAddr, ConfigVersion)>>,
     fleet: Mutex<Fleet>,
-    retries: Mutex<RetryAllowance>,
+    retries: Mutex<RetryBudget>,
     pub(crate) quota_peers: Mutex<Option<QuotaPeers>>,
     /// Gateways registered in the store, this one included; at least 1.
     members: AtomicUsize,
@@ -93,7 +93,7 @@
     /// The state of a process that knows nothing yet.
     pub fn new(settings: GatewaySettings, metrics: Option<PrometheusHandle>) -> Arc<Self> {
         let begun = Instant::now();
-        let retries = RetryAllowance::new(
+        let retries = RetryBudget::new(
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window,
@@ -107,8 +107,8 @@
             metrics,
             pool: ConnectionPool::default(),
             stop: StopSwitch::default(),
-            flights: FlightCount::default(),
-            demand: CallerDemand::default(),
+            flights: InFlightCount::default(),
+            service_queues: ServiceQueues::default(),
             work_changed: Event::new(),
             newcomers: Mutex::default(),
             config_due: Event::new(),
@@ -148,7 +148,7 @@
     }
 
     /// True when one repeated send to `service` may be made.
-    pub fn spend_retry(&self, service: &ServiceName, use_for: RetryUse) -> bool {
+    pub fn spend_retry(&self, service: &ServiceName, use_for: RetryVerdict) -> bool {
         let now = Instant::now();
         let heard = self.fleet().peers.retries(server_digest(service), now);
         let members = self.members();
@@ -166,11 +166,12 @@
         let now = Instant::now();
         let server = &*target.server;
         let mut fleet = self.fleet();
-        let was_aside = fleet.server(server).is_some_and(|belief| belief.health.is_aside(now));
+        let was_aside =
+            fleet.server(server).is_some_and(|server_state| server_state.health.is_aside(now));
         fleet.note(server, target.incarnation, outcome, now);
-        let Some(belief) = fleet.server(server) else { return };
-        let failure_share = belief.health.failure_share(now);
-        let is_aside = belief.health.is_aside(now);
+        let Some(server_state) = fleet.server(server) else { return };
+        let failure_share = server_state.health.failure_share(now);
+        let is_aside = server_state.health.is_aside(now);
         drop(fleet);
         if is_aside && !was_aside {
             metrics::counter!("umberglade_server_aside_total").increment(1);
@@ -205,26 +206,26 @@
     }
 
     /// The lines for `service` at all other gateways.
-    pub fn other_lines(&self, service: &ServiceName) -> OtherLines {
+    pub fn other_lines(&self, service: &ServiceName) -> PeerQueues {
         self.fleet().peers.other_lines(server_digest(service), Instant::now())
     }
 
     /// What this gateway's own streams were like, for each service with engines;
     /// for a report to the peers.
-    pub fn own_learning(&self) -> Vec<(u64, EngineLearning)> {
+    pub fn own_learning(&self) -> Vec<(u64, EngineEstimates)> {
         let Some(table) = self.table() else { return Vec::new() };
         let services = table.services.iter().filter(|(_, spec)| spec.engine.is_some());
         services
-            .map(|(service, _)| (server_digest(service), self.demand.learned(service)))
+            .map(|(service, _)| (server_digest(service), self.service_queues.learned(service)))
             .collect()
     }
 
     /// What all gateways have learned of the engines of `service`.
-    pub fn learned(&self, service: &ServiceName) -> EngineLearning {
-        let own = self.demand.learned(service);
+    pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
+        let own = self.service_queues.learned(service);
         let fleet = self.fleet();
         let others = fleet.peers.learned(server_digest(service));
-        EngineLearning::pooled(others.chain([own]))
+        EngineEstimates::pooled(others.chain([own]))
     }
 
     /// Gateways registered, this one included.
@@ -265,7 +266,7 @@
     }
 
     /// A request of `content` was answered whole by `target`.
-    pub fn note_whole(&self, content: CallContent, target: &SendTarget) {
+    pub fn note_whole(&self, content: RequestFingerprint, target: &SendTarget) {
         if self.quarantines.note_whole(content, target) {
             self.room.notify(usize::MAX);
             // The others hold it back until they are told.
@@ -278,7 +279,7 @@
     pub fn note_crash(
         &self,
         request_id: &str,
-        content: CallContent,
+        content: RequestFingerprint,
         target: &SendTarget,
         lived: Duration,
     ) {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -14,7 +14,7 @@
 /// begins later might not end within the usual grace.
 pub const CLOSE_TIME: Duration = Duration::from_millis(3000);
 /// The least time a stop takes: callers that still connect find a listener.
-pub const LEAST_STOP: Duration = Duration::from_millis(3600);
+pub const MIN_STOP: Duration = Duration::from_millis(3600);
 /// Before the latest end, how long new requests are no longer sent on: as
 /// long as the callers of short calls wait. Guards against a call cut with
 /// its server at work: where the balancer has too few other instances it
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -9,7 +9,7 @@
 use super::TableSink;
 use super::raw_digest;
 use super::unreadable_row::log_unreadable;
-use crate::belief::ContentDigest;
+use crate::cluster::RowDigest;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::model::RowValue;
@@ -64,7 +64,7 @@
         }
     }
 
-    fn digest(&self, row: &StoreRow) -> Option<ContentDigest> {
+    fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         raw_digest(row)
     }
 
--- a/crates/gateway/src/store/member_sink.rs
+++ b/crates/gateway/src/store/member_sink.rs
@@ -9,12 +9,12 @@
 use super::TableSink;
 use super::raw_digest;
 use super::unreadable_row::log_unreadable;
-use crate::belief::ContentDigest;
+use crate::cluster::RowDigest;
 use crate::model::RowValue;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
-use crate::peers::PeerBook;
+use crate::peers::PeerRegistry;
 use crate::state::GatewayState;
 
 /// A gateway's row: where it hears its peers. Encoded by `postcard`, as the
@@ -28,12 +28,12 @@
 #[derive(Debug)]
 pub struct MemberSink {
     state: Arc<GatewayState>,
-    book: Arc<PeerBook>,
+    book: Arc<PeerRegistry>,
 }
 
 impl MemberSink {
     /// A sink for `state` and the address book its reports go by.
-    pub fn new(state: Arc<GatewayState>, book: Arc<PeerBook>) -> Self {
+    pub fn new(state: Arc<GatewayState>, book: Arc<PeerRegistry>) -> Self {
         MemberSink { state, book }
     }
 
@@ -70,7 +70,7 @@
         self.state.set_members(self.book.len());
     }
 
-    fn digest(&self, row: &StoreRow) -> Option<ContentDigest> {
+    fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         raw_digest(row)
     }
 }
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -7,8 +7,8 @@
 use super::TableSink;
 use super::raw_digest;
 use super::unreadable_row::log_unreadable;
-use crate::belief::ContentDigest;
-use crate::model::CallContent;
+use crate::cluster::RowDigest;
+use crate::model::RequestFingerprint;
 use crate::model::RowValue;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
@@ -52,7 +52,7 @@
 
 impl TableSink for QuarantineSink {
     fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
-        let listed: FxHashSet<CallContent> =
+        let listed: FxHashSet<RequestFingerprint> =
             rows.iter().filter_map(|row| key_content(&row.key)).collect();
         for content in self.state.quarantines.rows() {
             if !listed.contains(&content) {
@@ -68,7 +68,7 @@
 
     /// With the version: a row that was removed and written again says the same
     /// as before, and a probe is claimed by its version.
-    fn digest(&self, row: &StoreRow) -> Option<ContentDigest> {
+    fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         let digest = raw_digest(row)?;
         Some(umberglade_wire::digest_seeded(&digest.to_le_bytes(), row.version))
     }
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -10,8 +10,8 @@
 
 use super::TableSink;
 use super::unreadable_row::log_unreadable;
-use crate::belief::ContentDigest;
-use crate::belief::ListedServers;
+use crate::cluster::RowDigest;
+use crate::cluster::ServerListing;
 use crate::codec::PlatformCodec;
 use crate::model::RowValue;
 use crate::model::ServerEntry;
@@ -21,7 +21,7 @@
 use crate::state::GatewayState;
 
 /// The digest of every row that holds no registration.
-const UNREADABLE_DIGEST: ContentDigest = 1;
+const UNREADABLE_DIGEST: RowDigest = 1;
 
 /// Keeps the fleet up to date.
 #[derive(Debug)]
@@ -58,7 +58,7 @@
 
 impl<C: PlatformCodec> TableSink for ServerSink<C> {
     fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
-        let mut listing = ListedServers::default();
+        let mut listing = ServerListing::default();
         for row in &rows {
             match Self::decode(row) {
                 RowNews::Entry(entry) => listing.entries.push((entry, row.version)),
@@ -91,7 +91,7 @@
 
     /// Servers renew their rows with nothing new in them but how often they
     /// have.
-    fn digest(&self, row: &StoreRow) -> Option<ContentDigest> {
+    fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         match Self::decode(row) {
             RowNews::Removed => None,
             RowNews::Unreadable(_) => Some(UNREADABLE_DIGEST),
--- a/crates/gateway/src/store/shared_reading.rs
+++ b/crates/gateway/src/store/shared_reading.rs
@@ -8,14 +8,14 @@
 
 use event_listener::Event;
 
-use crate::belief::ReadRoster;
+use crate::cluster::TableReaders;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
 use crate::timing::waking_clock;
 
 /// Rows told by others that wait to be taken in. More than that is no longer a
 /// change but a table: it is read from the store.
-const MOST_TOLD: usize = 512;
+const MAX_TOLD: usize = 512;
 
 /// What a report tells of a table that its sender reads for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct SharedReading {
     pub table: StoreTable,
-    roster: Mutex<ReadRoster>,
+    roster: Mutex<TableReaders>,
     told: Mutex<VecDeque<StoreRow>>,
     /// When the store answered last, by [`waking_clock`].
     read_waking: Mutex<Duration>,
@@ -46,7 +46,7 @@
     pub fn new(table: StoreTable, own: u64, bound: Duration) -> Self {
         SharedReading {
             table,
-            roster: Mutex::new(ReadRoster::new(own, bound, fastrand::f64())),
+            roster: Mutex::new(TableReaders::new(own, bound, fastrand::f64())),
             told: Mutex::default(),
             read_waking: Mutex::default(),
             news: Event::new(),
@@ -54,7 +54,7 @@
     }
 
     /// Who reads; held briefly, never across an await.
-    pub fn roster(&self) -> MutexGuard<'_, ReadRoster> {
+    pub fn roster(&self) -> MutexGuard<'_, TableReaders> {
         self.roster.lock().expect("roster lock")
     }
 
@@ -82,7 +82,7 @@
         let mut told = self.told.lock().expect("told rows lock");
         told.extend(rows);
         // The fingerprint differs then, and the store is read.
-        told.truncate(MOST_TOLD);
+        told.truncate(MAX_TOLD);
         drop(told);
         self.news.notify(usize::MAX);
     }
--- a/crates/gateway/src/store/shared_readings.rs
+++ b/crates/gateway/src/store/shared_readings.rs
@@ -8,8 +8,8 @@
 
 use super::SharedReading;
 use super::TableNotice;
-use crate::belief::ReadNotice;
-use crate::belief::server_digest;
+use crate::cluster::ReaderNotice;
+use crate::cluster::server_digest;
 use crate::model::GatewaySettings;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
@@ -57,7 +57,7 @@
         let Some(read_at) = now.checked_sub(Duration::from_millis(notice.age_ms)) else { return };
         let Some(reading) = self.find(notice.table) else { return };
         let is_heavy = notice.is_heavy;
-        let notice = ReadNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
+        let notice = ReaderNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
         reading.roster().hear(server_digest(peer), notice);
     }
 
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -9,8 +9,8 @@
 use super::FollowError;
 use super::StoreClient;
 use super::TableSharing;
-use crate::belief::ContentDigest;
-use crate::belief::ReadTurn;
+use crate::cluster::ReadRole;
+use crate::cluster::RowDigest;
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::model::RowBatch;
@@ -24,11 +24,11 @@
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 /// The longest pause: short against the time in which a configuration must
 /// be in force once the store is back.
-const LONGEST_PAUSE: Duration = Duration::from_millis(700);
+const MAX_PAUSE: Duration = Duration::from_millis(700);
 
 /// Outages shorter than this let no entry lapse: servers renew theirs about
 /// each second, and three renewals must be missed.
-const LEAST_OUTAGE: Duration = Duration::from_millis(1000);
+const MIN_OUTAGE: Duration = Duration::from_millis(1000);
 
 /// What frames a row in the store's answers, in bytes.
 const ROW_FRAME: usize = 40;
@@ -41,7 +41,7 @@
     fn changed(&mut self, rows: Vec<StoreRow>);
     /// A digest of what a row says, the same while it says nothing new; `None`
     /// when the row is gone.
-    fn digest(&self, row: &StoreRow) -> Option<ContentDigest>;
+    fn digest(&self, row: &StoreRow) -> Option<RowDigest>;
     /// The store answers again after it did not.
     fn regained(&mut self) {}
     /// A call was answered, with or without changes.
@@ -132,8 +132,8 @@
     /// reads the store itself now.
     fn told_until(&mut self) -> Option<Instant> {
         match self.sharing.as_mut()?.turn() {
-            ReadTurn::Own => None,
-            ReadTurn::Told { until } => Some(until),
+            ReadRole::Own => None,
+            ReadRole::Told { until } => Some(until),
         }
     }
 
@@ -241,7 +241,7 @@
     }
 
     fn tell_regained(&mut self, outage: Duration) {
-        if outage >= LEAST_OUTAGE {
+        if outage >= MIN_OUTAGE {
             self.sink.regained();
         }
     }
@@ -287,5 +287,5 @@
 
 fn pause(failures: u32) -> Duration {
     let doubled = FIRST_PAUSE * 2u32.pow(failures.saturating_sub(1).min(4));
-    doubled.min(LONGEST_PAUSE).mul_f64(0.75 + fastrand::f64() * 0.5)
+    doubled.min(MAX_PAUSE).mul_f64(0.75 + fastrand::f64() * 0.5)
 }
--- a/crates/gateway/src/store/table_sharing.rs
+++ b/crates/gateway/src/store/table_sharing.rs
@@ -9,10 +9,10 @@
 use super::SharedReading;
 use super::TableSink;
 use super::table_follower::bytes_of;
-use crate::belief::PeerRank;
-use crate::belief::ReadRoster;
-use crate::belief::ReadTurn;
-use crate::belief::TableContent;
+use crate::cluster::ReadRole;
+use crate::cluster::ReaderRank;
+use crate::cluster::TableReaders;
+use crate::cluster::TableRowSet;
 use crate::events;
 use crate::model::RowValue;
 use crate::model::StoreRow;
@@ -31,14 +31,14 @@
 /// Telling others of one read may take a link for so long.
 const TELL_SECONDS: f64 = 0.2;
 /// Reads that follow sooner are not told from a series.
-const LEAST_PACE: Duration = Duration::from_millis(500);
+const MIN_PACE: Duration = Duration::from_millis(500);
 
 /// The content that a follower holds, and what it and the others tell of it.
 #[derive(Debug)]
 pub struct TableSharing {
     state: Arc<GatewayState>,
     table: StoreTable,
-    content: TableContent,
+    content: TableRowSet,
     /// When this gateway first read the table.
     read_since: Option<Instant>,
     /// True while others tell this gateway what the table holds.
@@ -51,18 +51,18 @@
         TableSharing {
             state,
             table,
-            content: TableContent::default(),
+            content: TableRowSet::default(),
             read_since: None,
             is_told: false,
         }
     }
 
     /// What to do next.
-    pub fn turn(&mut self) -> ReadTurn {
+    pub fn turn(&mut self) -> ReadRole {
         let now = Instant::now();
         let rank = self.rank(now);
         let turn = self.reading().roster().turn(rank, now);
-        let is_told = turn != ReadTurn::Own;
+        let is_told = turn != ReadRole::Own;
         if is_told != self.is_told {
             self.is_told = is_told;
             self.log_turn(rank, now);
@@ -70,7 +70,7 @@
         turn
     }
 
-    fn log_turn(&self, rank: PeerRank, now: Instant) {
+    fn log_turn(&self, rank: ReaderRank, now: Instant) {
         let (known_at, readers) = {
             let roster = self.reading().roster();
             (roster.known_at(), roster.readers())
@@ -89,7 +89,7 @@
 
     /// True when gateways read this table for each other.
     pub fn is_shared(&self) -> bool {
-        ReadRoster::is_shared(self.rank(Instant::now()))
+        TableReaders::is_shared(self.rank(Instant::now()))
     }
 
     /// Resolves when others have told of rows.
@@ -130,7 +130,7 @@
     /// A read of `bytes` takes this gateway's link each `pace`.
     pub fn note_size(&self, bytes: usize, pace: Duration) {
         let Some(link) = self.state.settings.link_bytes_per_s else { return };
-        let taken = bytes as f64 / pace.as_secs_f64().max(LEAST_PACE.as_secs_f64());
+        let taken = bytes as f64 / pace.as_secs_f64().max(MIN_PACE.as_secs_f64());
         self.reading().roster().set_heavy(taken > link * HEAVY_PART);
     }
 
@@ -170,11 +170,11 @@
         self.state.readings.of(self.table)
     }
 
-    fn rank(&self, now: Instant) -> PeerRank {
+    fn rank(&self, now: Instant) -> ReaderRank {
         self.state.fleet().peers.rank(self.state.digest, now)
     }
 }
 
-fn note(content: &mut TableContent, sink: &impl TableSink, row: &StoreRow) -> bool {
+fn note(content: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
     content.note(&row.key, row.version, sink.digest(row))
 }
--- a/crates/gateway/tests/waiting_line.rs
+++ b/crates/gateway/tests/admission_queue.rs
@@ -3,12 +3,12 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::DeparturePace;
-use umberglade_gateway::belief::LineAsker;
-use umberglade_gateway::belief::OtherLines;
-use umberglade_gateway::belief::Ticket;
-use umberglade_gateway::belief::UsualPatience;
-use umberglade_gateway::belief::WaitingLine;
+use umberglade_gateway::cluster::AdmissionQueue;
+use umberglade_gateway::cluster::PeerQueues;
+use umberglade_gateway::cluster::QueueRequest;
+use umberglade_gateway::cluster::RateEstimate;
+use umberglade_gateway::cluster::Ticket;
+use umberglade_gateway::cluster::TypicalTimeout;
 
 const TARGET: Duration = Duration::from_millis(600);
 const PATIENCE: Duration = Duration::from_millis(3000);
@@ -18,22 +18,22 @@
 }
 
 /// A new caller at `now`.
-fn asker(now: Instant) -> LineAsker {
-    LineAsker { occupancy: 1, on_time_until: now + TARGET, tried_for: Duration::ZERO }
+fn asker(now: Instant) -> QueueRequest {
+    QueueRequest { occupancy: 1, on_time_until: now + TARGET, tried_for: Duration::ZERO }
 }
 
 /// Who is first now.
-fn first(line: &mut WaitingLine, tickets: &[Ticket], now: Instant) -> Option<Ticket> {
+fn first(line: &mut AdmissionQueue, tickets: &[Ticket], now: Instant) -> Option<Ticket> {
     tickets.iter().copied().find(|ticket| line.leads_since(*ticket, now).is_some())
 }
 
 #[test]
 fn those_on_time_go_before_those_late() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
-    let early = line.join(asker(begun), PATIENCE, OtherLines::default(), begun).unwrap();
+    let mut line = AdmissionQueue::default();
+    let early = line.join(asker(begun), PATIENCE, PeerQueues::default(), begun).unwrap();
     let later = begun + ms(300);
-    let second = line.join(asker(later), PATIENCE, OtherLines::default(), later).unwrap();
+    let second = line.join(asker(later), PATIENCE, PeerQueues::default(), later).unwrap();
     struct Case {
         name: &'static str,
         at: Duration,
@@ -56,14 +56,14 @@
 #[test]
 fn a_burst_of_twice_the_capacity() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let mut waiting: Vec<(Ticket, Instant)> = Vec::new();
     let (mut on_time, mut late, mut refused) = (0, 0, 0);
     for step in 0..700u64 {
         let now = begun + ms(step * 10);
         // 40 requests a second for five seconds; room for 20 a second.
         if step < 500 && (step * 4) % 10 < 4 {
-            match line.join(asker(now), PATIENCE, OtherLines::default(), now) {
+            match line.join(asker(now), PATIENCE, PeerQueues::default(), now) {
                 Ok(ticket) => waiting.push((ticket, now)),
                 Err(_) => refused += 1,
             }
@@ -102,16 +102,16 @@
     const SIZES: [u64; 5] = [100, 200, 400, 800, 1000];
     const BURST_STEPS: u64 = 500;
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     let mut waiting: Vec<(Ticket, Instant, u64)> = Vec::new();
     let (mut on_time, mut late, mut spare) = (0, 0, 0);
     for step in 0..BURST_STEPS * 3 {
         let now = begun + ms(step * 10);
         if step < BURST_STEPS && step % 5 < 2 {
             let occupancy = SIZES[(step / 5 * 2 + step % 5) as usize % SIZES.len()];
-            let asker = LineAsker { occupancy, ..asker(now) };
+            let asker = QueueRequest { occupancy, ..asker(now) };
             let endless = Duration::from_secs(60);
-            let ticket = line.join(asker, endless, OtherLines::default(), now).expect("let in");
+            let ticket = line.join(asker, endless, PeerQueues::default(), now).expect("let in");
             waiting.push((ticket, now, occupancy));
         }
         spare += CAPACITY;
@@ -140,10 +140,10 @@
 #[test]
 fn who_is_first_is_known_with_its_time() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
-    let join = |line: &mut WaitingLine, occupancy, now| {
-        let asker = LineAsker { occupancy, ..asker(now) };
-        line.join(asker, PATIENCE, OtherLines::default(), now).expect("let in")
+    let mut line = AdmissionQueue::default();
+    let join = |line: &mut AdmissionQueue, occupancy, now| {
+        let asker = QueueRequest { occupancy, ..asker(now) };
+        line.join(asker, PATIENCE, PeerQueues::default(), now).expect("let in")
     };
     let long = join(&mut line, 800, begun);
     assert_eq!(line.leads_since(long, begun), Some(begun));
@@ -162,20 +162,20 @@
 #[test]
 fn a_hopeless_newcomer_is_refused_at_once() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     for at in 0..10u64 {
         let now = begun + ms(at * 500);
-        let ticket = line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap();
+        let ticket = line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap();
         line.leave(ticket, true, now);
     }
     let now = begun + ms(5000);
     // Two leave a second: six are ahead of the seventh for three seconds.
     for _ in 0..6 {
-        line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap();
+        line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap();
     }
     line.note_no_room();
-    line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap();
-    let refusal = line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap_err();
+    line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap();
+    let refusal = line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap_err();
     assert!(refusal.predicted > PATIENCE);
     assert!(refusal.retry_after >= ms(1000) && refusal.retry_after <= ms(10_000), "{refusal:?}");
 }
@@ -183,11 +183,11 @@
 #[test]
 fn a_quiet_line_refuses_nobody() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
+    let mut line = AdmissionQueue::default();
     for at in 0..100u64 {
         let now = begun + ms(at * 200);
         let ticket =
-            line.join(asker(now), PATIENCE, OtherLines::default(), now).expect("an empty line");
+            line.join(asker(now), PATIENCE, PeerQueues::default(), now).expect("an empty line");
         assert_eq!(line.leads_since(ticket, now), Some(now));
         line.leave(ticket, true, now);
     }
@@ -202,32 +202,32 @@
 fn the_wait_is_predicted_over_all_gateways() {
     struct Case {
         name: &'static str,
-        others: OtherLines,
+        others: PeerQueues,
         is_refused: bool,
     }
     let cases = [
         Case {
             name: "room is given out fast elsewhere",
-            others: OtherLines { waiting: 9, on_time: 9, pace: 25.0, arrivals: 0.0 },
+            others: PeerQueues { waiting: 9, on_time: 9, pace: 25.0, arrivals: 0.0 },
             is_refused: false,
         },
         Case {
             name: "long lines elsewhere",
-            others: OtherLines { waiting: 90, on_time: 90, pace: 25.0, arrivals: 0.0 },
+            others: PeerQueues { waiting: 90, on_time: 90, pace: 25.0, arrivals: 0.0 },
             is_refused: true,
         },
-        Case { name: "alone", others: OtherLines::default(), is_refused: true },
+        Case { name: "alone", others: PeerQueues::default(), is_refused: true },
     ];
     for case in cases {
         let begun = Instant::now();
-        let mut line = WaitingLine::default();
+        let mut line = AdmissionQueue::default();
         let mut now = begun;
         for _ in 0..6 {
-            let ticket = line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap();
+            let ticket = line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap();
             line.leave(ticket, true, now);
             now += ms(3200);
         }
-        line.join(asker(now), PATIENCE, OtherLines::default(), now).unwrap();
+        line.join(asker(now), PATIENCE, PeerQueues::default(), now).unwrap();
         line.note_no_room();
         let joined = line.join(asker(now), PATIENCE, case.others, now);
         assert_eq!(joined.is_err(), case.is_refused, "{}: {joined:?}", case.name);
@@ -272,7 +272,7 @@
         },
     ];
     for case in cases {
-        let mut usual = UsualPatience::default();
+        let mut usual = TypicalTimeout::default();
         let mut tried = Duration::ZERO;
         for stated in case.stated {
             tried = usual.note(Duration::from_millis(*stated));
@@ -303,7 +303,7 @@
     ];
     for case in cases {
         let begun = Instant::now();
-        let mut pace = DeparturePace::default();
+        let mut pace = RateEstimate::default();
         let mut now = begun;
         while now < begun + Duration::from_secs(case.seconds) {
             for _ in 0..case.clump {
@@ -316,7 +316,7 @@
         let off = (found - case.pace).abs() / case.pace;
         assert!(off < 0.2, "{}: {found} a second, not {}", case.name, case.pace);
     }
-    let mut pace = DeparturePace::default();
+    let mut pace = RateEstimate::default();
     let begun = Instant::now();
     (0..100).for_each(|at| pace.note(begun + ms(at * 50)));
     let later = pace.per_second(begun + Duration::from_secs(15));
@@ -330,10 +330,10 @@
 fn newcomers_are_judged_by_those_ahead_of_them() {
     struct Case {
         name: &'static str,
-        others: OtherLines,
+        others: PeerQueues,
         is_refused: bool,
     }
-    let others = |waiting, on_time| OtherLines { waiting, on_time, pace: 25.0, arrivals: 0.0 };
+    let others = |waiting, on_time| PeerQueues { waiting, on_time, pace: 25.0, arrivals: 0.0 };
     let cases = [
         Case { name: "late ones only", others: others(200, 0), is_refused: false },
         Case { name: "room in time", others: others(200, 10), is_refused: false },
@@ -342,7 +342,7 @@
     ];
     let now = Instant::now();
     for case in cases {
-        let mut line = WaitingLine::default();
+        let mut line = AdmissionQueue::default();
         let joined = line.join(asker(now), PATIENCE, case.others, now);
         assert_eq!(joined.is_err(), case.is_refused, "{}: {joined:?}", case.name);
     }
@@ -354,11 +354,11 @@
 #[test]
 fn callers_who_come_back_are_first_among_the_late() {
     let begun = Instant::now();
-    let mut line = WaitingLine::default();
-    let none = OtherLines::default();
+    let mut line = AdmissionQueue::default();
+    let none = PeerQueues::default();
     let waiter = line.join(asker(begun), PATIENCE, none, begun).unwrap();
     let now = begun + ms(700);
-    let back = LineAsker { occupancy: 1, on_time_until: now - ms(2000), tried_for: ms(4000) };
+    let back = QueueRequest { occupancy: 1, on_time_until: now - ms(2000), tried_for: ms(4000) };
     let returned = line.join(back, PATIENCE, none, now).unwrap();
     assert_eq!(first(&mut line, &[waiter, returned], now), Some(returned));
     let newcomer = line.join(asker(now), PATIENCE, none, now).unwrap();
@@ -372,10 +372,10 @@
 fn refused_callers_are_told_to_come_back_after_the_burst() {
     struct Case {
         name: &'static str,
-        others: OtherLines,
+        others: PeerQueues,
         after_ms: std::ops::RangeInclusive<u64>,
     }
-    let others = |waiting, pace, arrivals| OtherLines { waiting, on_time: 0, pace, arrivals };
+    let others = |waiting, pace, arrivals| PeerQueues { waiting, on_time: 0, pace, arrivals };
     let cases = [
         Case { name: "nobody waits", others: others(0, 25.0, 25.0), after_ms: 200..=200 },
         Case { name: "the burst is over", others: others(50, 25.0, 5.0), after_ms: 2500..=2500 },
@@ -392,7 +392,7 @@
         Case { name: "nothing known", others: others(5, 0.0, 0.0), after_ms: 200..=200 },
     ];
     for case in cases {
-        let line = WaitingLine::default();
+        let line = AdmissionQueue::default();
         let after = line.retry_after(case.others, Instant::now());
         assert!(case.after_ms.contains(&(after.as_millis() as u64)), "{}: {after:?}", case.name);
     }
@@ -417,9 +417,9 @@
     ];
     for case in cases {
         let begun = Instant::now();
-        let mut line = WaitingLine::default();
-        let join = |line: &mut WaitingLine, now| {
-            line.join(asker(now), PATIENCE, OtherLines::default(), now)
+        let mut line = AdmissionQueue::default();
+        let join = |line: &mut AdmissionQueue, now| {
+            line.join(asker(now), PATIENCE, PeerQueues::default(), now)
         };
         let mut waiting: Vec<Ticket> =
             (0..60).map(|_| join(&mut line, begun).expect("nothing is known yet")).collect();
--- a/crates/gateway/tests/config_watch.rs
+++ b/crates/gateway/tests/config_watch.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::ConfigWatch;
+use umberglade_gateway::cluster::ConfigWatch;
 
 /// Each newer version that is heard of makes one read, however many gateways
 /// tell of it; what this gateway holds or is older makes none.
--- a/crates/gateway/tests/crash_watch.rs
+++ b/crates/gateway/tests/crash_detector.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::ContentVerdict;
-use umberglade_gateway::belief::CrashWatch;
-use umberglade_gateway::belief::OutcomeNews;
-use umberglade_gateway::belief::RowChange;
-use umberglade_gateway::belief::SendOutcome;
+use umberglade_gateway::cluster::CrashDetector;
+use umberglade_gateway::cluster::OutcomeUpdate;
+use umberglade_gateway::cluster::QuarantineVerdict;
+use umberglade_gateway::cluster::RowChange;
+use umberglade_gateway::cluster::SendOutcome;
 
 const CONTENT: u64 = 7;
 const OTHER: u64 = 8;
@@ -38,9 +38,9 @@
 }
 
 impl Step {
-    fn take(self, watch: &mut CrashWatch, now: Instant) {
-        let hear = |watch: &mut CrashWatch, outcome, age_ms| {
-            watch.hear(OutcomeNews { content: CONTENT, outcome, age_ms }, now);
+    fn take(self, watch: &mut CrashDetector, now: Instant) {
+        let hear = |watch: &mut CrashDetector, outcome, age_ms| {
+            watch.hear(OutcomeUpdate { content: CONTENT, outcome, age_ms }, now);
         };
         match self {
             Step::Ends(server) => drop(watch.note_crash(CONTENT, server, Duration::ZERO, now)),
@@ -191,7 +191,7 @@
     ];
     let begun = Instant::now();
     for case in cases {
-        let mut watch = CrashWatch::default();
+        let mut watch = CrashDetector::default();
         for (at, step) in case.steps {
             step.take(&mut watch, begun + ms(*at));
         }
@@ -202,8 +202,8 @@
 }
 
 /// A watch that holds [`CONTENT`] back from `now` on.
-fn holding(now: Instant) -> CrashWatch {
-    let mut watch = CrashWatch::default();
+fn holding(now: Instant) -> CrashDetector {
+    let mut watch = CrashDetector::default();
     for server in 1..=3 {
         watch.note_crash(CONTENT, server, Duration::ZERO, now);
     }
@@ -220,15 +220,15 @@
     assert_eq!(watch.take_row_changes(), [RowChange::Write(CONTENT)]);
     watch.note_row(CONTENT, 0, 11, false, begun);
     let before = begun + FIRST_WAIT - ms(1);
-    assert!(matches!(watch.admit(CONTENT, before), ContentVerdict::HeldBack(_)));
+    assert!(matches!(watch.admit(CONTENT, before), QuarantineVerdict::HeldBack(_)));
     let due = begun + FIRST_WAIT;
     assert!(
-        matches!(watch.admit(CONTENT, due), ContentVerdict::ProbeDue(held) if held.version == 11)
+        matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(held) if held.version == 11)
     );
-    assert!(matches!(watch.admit(CONTENT, due), ContentVerdict::HeldBack(_)), "one at a time");
+    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::HeldBack(_)), "one at a time");
     watch.note_row(CONTENT, 1, 12, true, due);
     watch.note_whole(CONTENT, ELSEWHERE, due + ms(50));
-    assert_eq!(watch.admit(CONTENT, due + ms(50)), ContentVerdict::Admitted);
+    assert_eq!(watch.admit(CONTENT, due + ms(50)), QuarantineVerdict::Admitted);
     assert_eq!(watch.take_row_changes(), [RowChange::Remove(CONTENT, 12)]);
 }
 
@@ -239,9 +239,9 @@
     let begun = Instant::now();
     let mut watch = holding(begun);
     let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), ContentVerdict::ProbeDue(_)));
-    assert!(matches!(watch.admit(CONTENT, due + ms(1999)), ContentVerdict::HeldBack(_)));
-    assert!(matches!(watch.admit(CONTENT, due + ms(2000)), ContentVerdict::ProbeDue(_)));
+    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
+    assert!(matches!(watch.admit(CONTENT, due + ms(1999)), QuarantineVerdict::HeldBack(_)));
+    assert!(matches!(watch.admit(CONTENT, due + ms(2000)), QuarantineVerdict::ProbeDue(_)));
 }
 
 /// The store is away, and the first of the gateways makes the first probe without
@@ -251,7 +251,7 @@
     let begun = Instant::now();
     let mut watch = holding(begun);
     let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), ContentVerdict::ProbeDue(_)));
+    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
     watch.note_unclaimed_probe(CONTENT, due);
     let held = watch.held(CONTENT, due).expect("held back");
     assert_eq!((held.probes, held.left), (1, Duration::from_secs(6)));
@@ -266,12 +266,15 @@
     let mut watch = holding(begun);
     watch.note_row(CONTENT, 0, 11, false, begun);
     let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), ContentVerdict::ProbeDue(_)));
+    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
     watch.note_row(CONTENT, 1, 12, true, due + ms(20));
-    assert!(matches!(watch.admit(CONTENT, due + ms(30)), ContentVerdict::HeldBack(_)));
+    assert!(matches!(watch.admit(CONTENT, due + ms(30)), QuarantineVerdict::HeldBack(_)));
     let settled = due + ms(2000);
-    assert!(matches!(watch.admit(CONTENT, settled), ContentVerdict::Probe(_)));
-    assert!(matches!(watch.admit(CONTENT, settled), ContentVerdict::HeldBack(_)), "one at a time");
+    assert!(matches!(watch.admit(CONTENT, settled), QuarantineVerdict::Probe(_)));
+    assert!(
+        matches!(watch.admit(CONTENT, settled), QuarantineVerdict::HeldBack(_)),
+        "one at a time"
+    );
 }
 
 /// A probe finds no server, or a full one. It is made again a second later, a few
@@ -285,7 +288,7 @@
         let mut probes = 0;
         for tick in 0..50 {
             let now = begun + ms(tick * 100);
-            if matches!(watch.admit(CONTENT, now), ContentVerdict::Probe(_)) {
+            if matches!(watch.admit(CONTENT, now), QuarantineVerdict::Probe(_)) {
                 probes += 1;
                 if ends_server {
                     watch.note_crash(CONTENT, 50, Duration::ZERO, now);
@@ -308,7 +311,7 @@
     for second in 0..3600 {
         let now = begun + Duration::from_secs(second);
         watch.tick(false, now);
-        if let ContentVerdict::ProbeDue(held) = watch.admit(CONTENT, now) {
+        if let QuarantineVerdict::ProbeDue(held) = watch.admit(CONTENT, now) {
             probes += u32::from(second > 3);
             watch.note_row(CONTENT, held.probes + 1, 100 + second, true, now);
             watch.begin_probe(CONTENT);
@@ -332,7 +335,7 @@
         assert_eq!(watch.tick(removes_rows, later), [CONTENT]);
         let removals = usize::from(removes_rows);
         assert_eq!(watch.take_row_changes().len(), removals, "removes rows: {removes_rows}");
-        assert_eq!(watch.admit(CONTENT, later), ContentVerdict::Admitted);
+        assert_eq!(watch.admit(CONTENT, later), QuarantineVerdict::Admitted);
         assert!(watch.is_empty());
     }
 }
@@ -344,7 +347,7 @@
 fn company_of_fatal_requests_is_no_suspicion() {
     const SOUND: u64 = 1000;
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     for fatal in 1..=3u64 {
         for count in 0..3u64 {
             let now = begun + ms(fatal * 3000 + count * 100);
@@ -373,7 +376,7 @@
 fn company_is_told_to_nobody() {
     const SOUND: u64 = 1000;
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
     watch.note_crash(CONTENT, 2, Duration::ZERO, begun);
     watch.note_crash(SOUND, 2, Duration::ZERO, begun);
@@ -390,7 +393,7 @@
 fn popular_company_is_no_suspicion() {
     const POPULAR: u64 = 1000;
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     watch.note_whole(POPULAR, ELSEWHERE, begun);
     for (server, at) in [(1, 1000), (2, 1100), (3, 2500), (4, 4000), (5, 4100)] {
         watch.note_crash(POPULAR, server, Duration::ZERO, begun + ms(at));
@@ -406,7 +409,7 @@
 fn a_fatal_request_is_not_let_off_for_its_company() {
     const SOUND: u64 = 1000;
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     for server in 1..=3 {
         watch.note_crash(SOUND, server, Duration::ZERO, begun);
         watch.note_crash(CONTENT, server, Duration::ZERO, begun);
@@ -420,10 +423,11 @@
 #[test]
 fn a_gateway_that_has_just_begun_does_not_judge() {
     let begun = Instant::now();
-    let end = |id| OutcomeNews { content: CONTENT, outcome: SendOutcome::Crashed(id), age_ms: 900 };
-    let whole = OutcomeNews { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 100 };
+    let end =
+        |id| OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Crashed(id), age_ms: 900 };
+    let whole = OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 100 };
     for is_sound in [true, false] {
-        let mut watch = CrashWatch::new(begun);
+        let mut watch = CrashDetector::new(begun);
         for id in 1..=3 {
             watch.hear(end(id), begun + ms(50));
         }
@@ -442,10 +446,10 @@
 /// says most is kept.
 #[test]
 fn memory_and_reports_are_bounded() {
-    const MOST_RECORDS: usize = 1024;
-    const MOST_TOLD: usize = 32;
+    const MAX_RECORDS: usize = 1024;
+    const MAX_TOLD: usize = 32;
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
     watch.note_crash(CONTENT, 2, Duration::ZERO, begun + ms(1));
     for content in 100..5100 {
@@ -454,8 +458,8 @@
     for content in 10_000..60_000 {
         watch.note_whole(content, ELSEWHERE, begun + ms(3));
     }
-    assert!(watch.len() <= MOST_RECORDS, "{} records", watch.len());
-    assert!(watch.news(true, begun + ms(4)).len() <= MOST_TOLD);
+    assert!(watch.len() <= MAX_RECORDS, "{} records", watch.len());
+    assert!(watch.news(true, begun + ms(4)).len() <= MAX_TOLD);
     watch.note_crash(CONTENT, 3, Duration::ZERO, begun + ms(5));
     assert!(watch.held(CONTENT, begun + ms(5)).is_some());
     watch.tick(true, begun + Duration::from_secs(1300));
@@ -481,7 +485,7 @@
     ];
     let begun = Instant::now();
     for case in cases {
-        let mut watch = CrashWatch::default();
+        let mut watch = CrashDetector::default();
         watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
         let news = watch.news(case.tells_all, begun + case.after);
         assert_eq!(!news.is_empty(), case.is_told, "{}", case.name);
@@ -495,13 +499,13 @@
 #[test]
 fn whole_answers_are_told_where_they_matter() {
     let begun = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     watch.note_whole(CONTENT, ELSEWHERE, begun);
     assert!(watch.news(true, begun).is_empty());
     let outcome = SendOutcome::Crashed(1);
-    watch.hear(OutcomeNews { content: CONTENT, outcome, age_ms: 30 }, begun + ms(500));
+    watch.hear(OutcomeUpdate { content: CONTENT, outcome, age_ms: 30 }, begun + ms(500));
     let told = watch.news(false, begun + ms(500));
-    let expected = OutcomeNews { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 31 };
+    let expected = OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 31 };
     assert_eq!(told, [expected]);
     // Once cleared, it is told anew with the next end: others may have begun
     // since.
--- a/crates/gateway/tests/crash_spread.rs
+++ b/crates/gateway/tests/crash_spread.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::ContentVerdict;
-use umberglade_gateway::belief::CrashWatch;
-use umberglade_gateway::belief::OutcomeNews;
-use umberglade_gateway::belief::RowChange;
-use umberglade_gateway::belief::report_pace;
+use umberglade_gateway::cluster::CrashDetector;
+use umberglade_gateway::cluster::OutcomeUpdate;
+use umberglade_gateway::cluster::QuarantineVerdict;
+use umberglade_gateway::cluster::RowChange;
+use umberglade_gateway::cluster::report_interval;
 
 const FATAL: u64 = 7;
 const STEP: Duration = Duration::from_millis(20);
@@ -87,14 +87,14 @@
 
 /// What is on its way to a gateway.
 enum Mail {
-    News(OutcomeNews),
+    News(OutcomeUpdate),
     Row { probes: u32, version: u64 },
 }
 
 struct Fleet {
     case: SpreadCase,
     draw: fastrand::Rng,
-    watches: Vec<CrashWatch>,
+    watches: Vec<CrashDetector>,
     /// By arrival, then by a count.
     mail: BTreeMap<(Instant, u64), (usize, Mail)>,
     sent: u64,
@@ -113,7 +113,7 @@
         Fleet {
             case,
             draw: fastrand::Rng::with_seed(seed),
-            watches: (0..case.gateways).map(|_| CrashWatch::default()).collect(),
+            watches: (0..case.gateways).map(|_| CrashDetector::default()).collect(),
             mail: BTreeMap::new(),
             sent: 0,
             runs: Vec::new(),
@@ -134,7 +134,7 @@
             if is_due(STEP * step, self.case.repeat_every) {
                 self.ask(now);
             }
-            if is_due(STEP * step, report_pace(self.case.gateways - 1)) {
+            if is_due(STEP * step, report_interval(self.case.gateways - 1)) {
                 self.report(is_due_within(STEP * step, TELL_ALL_EVERY), now);
             }
             self.write_rows(now);
@@ -148,9 +148,9 @@
     fn ask(&mut self, now: Instant) {
         let gateway = self.draw.usize(..self.watches.len());
         match self.watches[gateway].admit(FATAL, now) {
-            ContentVerdict::Admitted | ContentVerdict::Probe(_) => {}
-            ContentVerdict::HeldBack(_) => return,
-            ContentVerdict::ProbeDue(held) => {
+            QuarantineVerdict::Admitted | QuarantineVerdict::Probe(_) => {}
+            QuarantineVerdict::HeldBack(_) => return,
+            QuarantineVerdict::ProbeDue(held) => {
                 if !self.case.has_store || held.version != self.version {
                     return;
                 }
--- a/crates/gateway/tests/engine_learning.rs
+++ b/crates/gateway/tests/engine_estimates.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::EngineLearning;
-use umberglade_gateway::belief::PeerLoads;
+use umberglade_gateway::cluster::EngineEstimates;
+use umberglade_gateway::cluster::PeerReports;
 use umberglade_gateway::model::EngineSpec;
 
 const ENGINES: usize = 140;
@@ -21,8 +21,8 @@
 
 /// What a gateway knows that has served these streams: prompts of 5,000
 /// tokens read at 55 a millisecond, answers of 500 that take three seconds.
-fn learned(streams: Range<u32>, slowdown: f64) -> EngineLearning {
-    let mut learning = EngineLearning::default();
+fn learned(streams: Range<u32>, slowdown: f64) -> EngineEstimates {
+    let mut learning = EngineEstimates::default();
     for at in streams {
         let prompt = 4000 + at % 5 * 500;
         let read_ms = (100.0 + f64::from(prompt) / 55.0) * slowdown;
@@ -43,7 +43,7 @@
     let each = learned(0..2, 1.0);
     assert_eq!(each.balance.wanted_readers(ENGINES, &spec()), None);
     assert_eq!(each.outputs.run_time(500), Duration::ZERO);
-    let pool = EngineLearning::pooled((0..25).map(|at| learned(at * 2..at * 2 + 2, 1.0)));
+    let pool = EngineEstimates::pooled((0..25).map(|at| learned(at * 2..at * 2 + 2, 1.0)));
     let alone = learned(0..50, 1.0);
     let wanted = pool.balance.wanted_readers(ENGINES, &spec()).expect("known together");
     let expected = alone.balance.wanted_readers(ENGINES, &spec()).expect("known alone");
@@ -58,7 +58,7 @@
 #[test]
 fn one_odd_gateway_decides_little() {
     let others = (0..39).map(|_| learned(0..40, 1.0));
-    let pool = EngineLearning::pooled(others.chain([learned(0..4000, 3.0)]));
+    let pool = EngineEstimates::pooled(others.chain([learned(0..4000, 3.0)]));
     let run_time = pool.outputs.run_time(500).as_secs_f64();
     assert!((3.0..3.3).contains(&run_time), "{run_time}");
 }
@@ -85,12 +85,12 @@
     for case in cases {
         let mut bytes = postcard::to_allocvec(&learned(0..30, 1.0)).unwrap();
         bytes[..8].copy_from_slice(&case.told.to_le_bytes());
-        let odd: EngineLearning = postcard::from_bytes(&bytes).unwrap();
-        let mut peers = PeerLoads::default();
+        let odd: EngineEstimates = postcard::from_bytes(&bytes).unwrap();
+        let mut peers = PeerReports::default();
         peers.learn("peer", vec![(SERVICE, odd)], Instant::now());
         let taken = peers.learned(SERVICE).count() > 0;
         assert_eq!(taken, case.is_taken, "{}", case.name);
-        let pool = EngineLearning::pooled(peers.learned(SERVICE));
+        let pool = EngineEstimates::pooled(peers.learned(SERVICE));
         assert!(pool.outputs.run_time(500) < Duration::from_secs(60), "{}", case.name);
     }
 }
--- a/crates/gateway/tests/opening_time.rs
+++ b/crates/gateway/tests/first_event_time.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umberglade_gateway::belief::OpeningTime;
+use umberglade_gateway::cluster::FirstEventTime;
 
 struct OpeningCase {
     name: &'static str,
@@ -12,8 +12,8 @@
     likely_ms: std::ops::RangeInclusive<u64>,
 }
 
-fn learned(took: &[u64]) -> OpeningTime {
-    let mut opening = OpeningTime::default();
+fn learned(took: &[u64]) -> FirstEventTime {
+    let mut opening = FirstEventTime::default();
     for at in 0..200 {
         opening.note(Duration::from_millis(took[at % took.len()]));
     }
@@ -51,7 +51,7 @@
 #[test]
 fn a_slow_start_is_forgotten_soon() {
     const TARGET: Duration = Duration::from_millis(900);
-    let mut opening = OpeningTime::default();
+    let mut opening = FirstEventTime::default();
     (0..10).for_each(|_| opening.note(Duration::from_millis(1500)));
     let worst = opening.latest_start(TARGET);
     assert!(worst >= TARGET / 3, "newcomers can be on time at any time: {worst:?}");
@@ -65,10 +65,10 @@
 
 #[test]
 fn too_few_streams_tell_nothing_alone_and_much_together() {
-    let mut one = OpeningTime::default();
+    let mut one = FirstEventTime::default();
     (0..3).for_each(|_| one.note(Duration::from_millis(700)));
-    let unknown = OpeningTime::default().likely();
+    let unknown = FirstEventTime::default().likely();
     assert_eq!(one.likely(), unknown);
-    let pool = (0..10).fold(OpeningTime::default(), |pool, _| pool.with(&one));
+    let pool = (0..10).fold(FirstEventTime::default(), |pool, _| pool.with(&one));
     assert_eq!(pool.likely(), Duration::from_millis(700));
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -4,12 +4,12 @@
 use std::time::Instant;
 use std::time::SystemTime;
 
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::FleetChange;
-use umberglade_gateway::belief::ListedServers;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerNews;
-use umberglade_gateway::belief::ServerOutcome;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::FleetChange;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::ServerListing;
+use umberglade_gateway::cluster::ServerOutcome;
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
@@ -32,8 +32,10 @@
 }
 
 fn open(fleet: &Fleet, now: Instant) -> Vec<String> {
-    let mut open: Vec<String> =
-        fleet.open_servers("svc", now).map(|(belief, _)| belief.entry.server.to_string()).collect();
+    let mut open: Vec<String> = fleet
+        .open_servers("svc", now)
+        .map(|(server_state, _)| server_state.entry.server.to_string())
+        .collect();
     open.sort();
     open
 }
@@ -244,7 +246,7 @@
                 Listed(servers, version) => {
                     let entries =
                         servers.iter().map(|(server, at)| (entry(server, false), *at)).collect();
-                    let listing = ListedServers { entries, unreadable: Vec::new() };
+                    let listing = ServerListing { entries, unreadable: Vec::new() };
                     fleet.replace(listing, version, now);
                 }
                 ReadySince(server, version, start) => {
@@ -260,13 +262,13 @@
                 Unreadable(server, version) => fleet.note_unreadable(server, version),
                 ListedUnreadable(server, version) => {
                     let unreadable = vec![(server.into(), version)];
-                    let listing = ListedServers { entries: Vec::new(), unreadable };
+                    let listing = ServerListing { entries: Vec::new(), unreadable };
                     fleet.replace(listing, version, now);
                 }
                 Regained => fleet.store_regained(now),
                 PeerCalm(millis) => {
                     let store_calm = Duration::from_millis(millis);
-                    let news = PeerNews { store_calm, ..PeerNews::default() };
+                    let news = PeerUpdate { store_calm, ..PeerUpdate::default() };
                     fleet.peers.note("peer", 1, 1, news, now);
                 }
                 Wait(millis) => {
@@ -305,20 +307,20 @@
     let earlier = fleet.begin("a", work, now).expect("a known server");
     fleet.note("a", earlier, ServerOutcome::Unreachable, now);
     fleet.begin_change("a", ServerStage::Decode, now);
-    let news = PeerNews {
+    let news = PeerUpdate {
         loads: vec![(earlier, work)],
         aside: [earlier].into_iter().collect(),
-        ..PeerNews::default()
+        ..PeerUpdate::default()
     };
     fleet.peers.note("peer", 1, 1, news, now);
     let change = fleet.upsert(since(entry("a", false), 200), 2);
     assert_eq!(change, Some(FleetChange::Restarted("a".into())));
     fleet.end("a", earlier, work);
     fleet.note("a", earlier, ServerOutcome::Unreachable, now);
-    let (belief, others) = fleet.open_servers("svc", now).next().expect("open to new work");
-    assert_ne!(belief.incarnation, earlier);
-    assert_eq!(fleet.load(belief, now), LoadShare::default());
-    assert_eq!((others.aside, belief.health.is_aside(now)), (0, false));
+    let (server_state, others) = fleet.open_servers("svc", now).next().expect("open to new work");
+    assert_ne!(server_state.incarnation, earlier);
+    assert_eq!(fleet.load(server_state, now), LoadShare::default());
+    assert_eq!((others.aside, server_state.health.is_aside(now)), (0, false));
     let later = fleet.begin("a", work, now).expect("a known server");
     fleet.change("a", earlier, work, LoadShare::default());
     fleet.end("a", earlier, work);
@@ -334,7 +336,7 @@
     let mut fleet = Fleet::new(0);
     let now = Instant::now();
     assert!(!fleet.peers.has_report("gw-1", 7));
-    fleet.peers.note("gw-1", 7, 1, PeerNews::default(), now);
+    fleet.peers.note("gw-1", 7, 1, PeerUpdate::default(), now);
     assert!(fleet.peers.has_report("gw-1", 7));
     assert!(!fleet.peers.has_report("gw-1", 8));
     fleet.tick(now + Duration::from_secs(6));
--- a/crates/gateway/tests/in_force.rs
+++ b/crates/gateway/tests/in_force.rs
@@ -3,8 +3,8 @@
 use std::collections::HashMap;
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::InForce;
-use umberglade_gateway::belief::InForceChange;
+use umberglade_gateway::cluster::InForce;
+use umberglade_gateway::cluster::InForceChange;
 use umberglade_gateway::model::CallerLimits;
 use umberglade_gateway::model::RouteTable;
 
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -4,15 +4,15 @@
 use std::time::Instant;
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::LimitRank;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerNews;
-use umberglade_gateway::belief::PlaceNeed;
-use umberglade_gateway::belief::TokenBucket;
-use umberglade_gateway::belief::limit_share;
-use umberglade_gateway::belief::place_plain;
-use umberglade_gateway::belief::server_digest;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::LimitRank;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::TokenBucket;
+use umberglade_gateway::cluster::limit_share;
+use umberglade_gateway::cluster::place_plain;
+use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::RequestRate;
 use umberglade_gateway::model::ServerEntry;
@@ -31,7 +31,7 @@
 const CALL_TIME: Duration = Duration::from_millis(50);
 const RUN_TIME: Duration = Duration::from_secs(24);
 /// Minimum fraction of the limits that must be used when demand exceeds them.
-const LEAST_USED: f64 = 0.8;
+const MIN_USED: f64 = 0.8;
 const SERVERS: usize = 4;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -131,7 +131,7 @@
                 if self.random.f64() < self.case.loss {
                     continue;
                 }
-                let (peer, news) = (format!("gw-{from}"), PeerNews::default());
+                let (peer, news) = (format!("gw-{from}"), PeerUpdate::default());
                 self.fleets[to].peers.note(&peer, 1, self.sequence, news, self.now);
                 for news in &limits {
                     self.fleets[to].hear_limit(*news, self.now);
@@ -146,7 +146,7 @@
     /// Places one request at a gateway and sends it.
     fn call(&mut self, gateway: usize) {
         let domain: DomainKey = "z".into();
-        let need = PlaceNeed {
+        let need = PlacementRequest {
             service: "svc",
             gateway: gateway as u64,
             domain: &domain,
@@ -173,7 +173,8 @@
         for (_, gateway, server) in due {
             let fleet = &mut self.fleets[gateway];
             let key = format!("s-{server}");
-            let Some(incarnation) = fleet.server(&key).map(|belief| belief.incarnation) else {
+            let Some(incarnation) = fleet.server(&key).map(|server_state| server_state.incarnation)
+            else {
                 continue;
             };
             fleet.end(&key, incarnation, LoadShare::of_call());
@@ -295,7 +296,7 @@
                 simulation.arrivals.iter().flatten().filter(|at| **at >= begun + PROPAGATION_TIME);
             let time = (RUN_TIME - PROPAGATION_TIME).as_secs_f64();
             let used = late.count() as f64 / (time * case.limit * SERVERS as f64);
-            assert!(used >= LEAST_USED, "{}: {used:.2} of the limits used", case.name);
+            assert!(used >= MIN_USED, "{}: {used:.2} of the limits used", case.name);
         }
     }
 }
--- a/crates/gateway/tests/line_order.rs
+++ b/crates/gateway/tests/line_order.rs
@@ -2,14 +2,14 @@
 
 use std::time::Instant;
 
-use umberglade_gateway::belief::LineNews;
-use umberglade_gateway::belief::PeerLoads;
-use umberglade_gateway::belief::PeerNews;
+use umberglade_gateway::cluster::PeerReports;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::QueueUpdate;
 
 const SERVICE: u64 = 7;
 
-fn on_time(first_occupancy: u64, waiting: u32) -> LineNews {
-    LineNews {
+fn on_time(first_occupancy: u64, waiting: u32) -> QueueUpdate {
+    QueueUpdate {
         waiting,
         on_time: waiting,
         first_age_ms: 100,
@@ -20,8 +20,8 @@
     }
 }
 
-fn late(first_age_ms: u32, waiting: u32) -> LineNews {
-    LineNews { on_time: 0, first_age_ms, is_first_late: true, ..on_time(0, waiting) }
+fn late(first_age_ms: u32, waiting: u32) -> QueueUpdate {
+    QueueUpdate { on_time: 0, first_age_ms, is_first_late: true, ..on_time(0, waiting) }
 }
 
 /// Gateways look for room at the same moment and take the place of their rank.
@@ -31,11 +31,11 @@
 fn the_rank_among_all_lines() {
     struct RankCase {
         name: &'static str,
-        others: &'static [LineNews],
-        own: LineNews,
+        others: &'static [QueueUpdate],
+        own: QueueUpdate,
         before: usize,
     }
-    const LEAST: LineNews = LineNews {
+    const MIN: QueueUpdate = QueueUpdate {
         waiting: 5,
         on_time: 5,
         first_age_ms: 20,
@@ -44,29 +44,29 @@
         pace_milli: 0,
         arrivals_milli: 0,
     };
-    const MOST: LineNews = LineNews { first_occupancy: 90, ..LEAST };
-    const LATE: LineNews =
-        LineNews { is_first_late: true, on_time: 0, first_age_ms: 2000, ..LEAST };
-    const NOBODY: LineNews = LineNews { waiting: 0, on_time: 0, ..LEAST };
+    const MAX: QueueUpdate = QueueUpdate { first_occupancy: 90, ..MIN };
+    const LATE: QueueUpdate =
+        QueueUpdate { is_first_late: true, on_time: 0, first_age_ms: 2000, ..MIN };
+    const NOBODY: QueueUpdate = QueueUpdate { waiting: 0, on_time: 0, ..MIN };
     let cases = [
         RankCase { name: "alone", others: &[], own: on_time(50, 3), before: 0 },
         RankCase { name: "nobody waits there", others: &[NOBODY], own: on_time(50, 3), before: 0 },
         RankCase {
             name: "of a line that takes less, its first",
-            others: &[LEAST, MOST],
+            others: &[MIN, MAX],
             own: on_time(50, 3),
             before: 1,
         },
         RankCase {
             name: "several that take less",
-            others: &[LEAST, LEAST, MOST],
+            others: &[MIN, MIN, MAX],
             own: on_time(50, 3),
             before: 2,
         },
         RankCase { name: "late ones wait", others: &[LATE], own: on_time(50, 3), before: 0 },
         RankCase {
             name: "a late one behind those on time",
-            others: &[LEAST, MOST],
+            others: &[MIN, MAX],
             own: late(3000, 1),
             before: 2,
         },
@@ -80,10 +80,12 @@
     ];
     let now = Instant::now();
     for case in cases {
-        let mut peers = PeerLoads::default();
+        let mut peers = PeerReports::default();
         for (at, line) in case.others.iter().enumerate() {
-            let news =
-                PeerNews { lines: [(SERVICE, *line)].into_iter().collect(), ..PeerNews::default() };
+            let news = PeerUpdate {
+                lines: [(SERVICE, *line)].into_iter().collect(),
+                ..PeerUpdate::default()
+            };
             peers.note(&format!("peer-{at}"), 1, 1, news, now);
         }
         let before = peers.waiting_before(SERVICE, &case.own, now);
--- a/crates/gateway/tests/load_share.rs
+++ b/crates/gateway/tests/load_share.rs
@@ -1,6 +1,6 @@
 //! What streams at one engine are expected to hold of its memory.
 
-use umberglade_gateway::belief::LoadShare;
+use umberglade_gateway::cluster::LoadShare;
 use umberglade_gateway::model::PromptShape;
 
 /// Tokens of an engine's memory that are given out, of [`MEMORY`].
--- a/crates/gateway/tests/output_guess.rs
+++ b/crates/gateway/tests/output_estimate.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use umberglade_gateway::belief::OutputGuess;
+use umberglade_gateway::cluster::OutputEstimate;
 
 const TOOK: Duration = Duration::from_secs(3);
 
@@ -37,7 +37,7 @@
         case("estimated nothing", 50, 3600, Some(0), Some(64)),
     ];
     for case in cases {
-        let mut guess = OutputGuess::default();
+        let mut guess = OutputEstimate::default();
         for _ in 0..case.answers {
             guess.note(case.length, TOOK);
         }
@@ -55,7 +55,7 @@
 /// within some dozens of answers the new length is expected.
 #[test]
 fn the_usual_length_follows_the_answers() {
-    let mut guess = OutputGuess::default();
+    let mut guess = OutputEstimate::default();
     (0..100).for_each(|_| guess.note(1000, TOOK));
     (0..60).for_each(|_| guess.note(2000, TOOK));
     let expected = guess.expect(None).unwrap();
@@ -66,7 +66,7 @@
 /// them. Its answer takes five: it must be refused before, not cut then.
 #[test]
 fn the_time_an_answer_takes_is_known() {
-    let mut guess = OutputGuess::default();
+    let mut guess = OutputEstimate::default();
     assert_eq!(guess.run_time(4000), Duration::ZERO, "nothing known");
     (0..20).for_each(|_| guess.note(3000, TOOK));
     let time = guess.run_time(4000).as_secs_f64();
--- a/crates/gateway/tests/peer_sums.rs
+++ b/crates/gateway/tests/peer_totals.rs
@@ -4,17 +4,17 @@
 use std::time::Instant;
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::LineNews;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerLoads;
-use umberglade_gateway::belief::PeerNews;
-use umberglade_gateway::belief::PlaceNeed;
-use umberglade_gateway::belief::RetryCount;
-use umberglade_gateway::belief::ServerSum;
-use umberglade_gateway::belief::place_engine;
-use umberglade_gateway::belief::place_plain;
-use umberglade_gateway::belief::server_digest;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerReports;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::QueueUpdate;
+use umberglade_gateway::cluster::RetryCount;
+use umberglade_gateway::cluster::ServerSum;
+use umberglade_gateway::cluster::place_engine;
+use umberglade_gateway::cluster::place_plain;
+use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -33,12 +33,12 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Report { peer: usize, incarnation: u64, sequence: u64, news: Box<PeerNews> },
+    Report { peer: usize, incarnation: u64, sequence: u64, news: Box<PeerUpdate> },
     Wait(u64),
     Tick,
 }
 
-fn news() -> impl Strategy<Value = PeerNews> {
+fn news() -> impl Strategy<Value = PeerUpdate> {
     // Counts of any size: a datagram may hold anything.
     let count = || prop_oneof![4 => 0u32..50, 1 => any::<u32>()];
     let load = (0..SERVERS, count(), count(), count(), count()).prop_map(
@@ -51,7 +51,7 @@
     let line = (0..SERVICES, count(), count(), count()).prop_map(
         |(service, waiting, on_time, pace_milli)| {
             let arrivals_milli = pace_milli / 2;
-            let line = LineNews {
+            let line = QueueUpdate {
                 waiting,
                 on_time,
                 first_age_ms: 1,
@@ -72,13 +72,13 @@
         servers(),
         servers(),
     )
-        .prop_map(|(loads, retries, line, aside, changing)| PeerNews {
+        .prop_map(|(loads, retries, line, aside, changing)| PeerUpdate {
             loads,
             retries,
             lines: line.into_iter().collect(),
             aside: aside.into(),
             changing: changing.into(),
-            ..PeerNews::default()
+            ..PeerUpdate::default()
         })
 }
 
@@ -98,12 +98,19 @@
 /// The newest reports and when they came, summed anew at each look.
 #[derive(Default)]
 struct PlainSums {
-    newest: Vec<(usize, u64, u64, Instant, PeerNews)>,
+    newest: Vec<(usize, u64, u64, Instant, PeerUpdate)>,
 }
 
 impl PlainSums {
-    fn note(&mut self, peer: usize, incarnation: u64, sequence: u64, news: PeerNews, now: Instant) {
-        let is_older = |known: &&(usize, u64, u64, Instant, PeerNews)| {
+    fn note(
+        &mut self,
+        peer: usize,
+        incarnation: u64,
+        sequence: u64,
+        news: PeerUpdate,
+        now: Instant,
+    ) {
+        let is_older = |known: &&(usize, u64, u64, Instant, PeerUpdate)| {
             known.0 == peer && known.1 == incarnation && known.2 >= sequence
         };
         if self.newest.iter().find(is_older).is_some() {
@@ -113,7 +120,7 @@
         self.newest.push((peer, incarnation, sequence, now, news));
     }
 
-    fn fresh(&self, now: Instant) -> impl Iterator<Item = &PeerNews> {
+    fn fresh(&self, now: Instant) -> impl Iterator<Item = &PeerUpdate> {
         let is_fresh = move |heard: Instant| now - heard < REPORT_LIFE;
         self.newest.iter().filter(move |known| is_fresh(known.3)).map(|known| &known.4)
     }
@@ -148,7 +155,7 @@
     #[test]
     fn sums_equal_the_sum_over_all_reports(steps in prop::collection::vec(step(), 1..60)) {
         let mut now = Instant::now();
-        let mut loads = PeerLoads::default();
+        let mut loads = PeerReports::default();
         let mut plain = PlainSums::default();
         for step in steps {
             match step {
@@ -210,15 +217,15 @@
         for peer in 0..case.peers {
             let load = LoadShare::of_stream(&shape);
             let at = peer % (case.decode + case.prefill);
-            let news = PeerNews {
+            let news = PeerUpdate {
                 loads: vec![(server_digest(&format!("s{at}")), load)],
-                ..PeerNews::default()
+                ..PeerUpdate::default()
             };
             fleet.peers.note(&format!("gw-{peer}"), 1, 1, news, now);
         }
         let domain: DomainKey = "z0".into();
         let gateway = server_digest("gw");
-        let need = PlaceNeed { service: "svc", gateway, domain: &domain, tried: &[], now };
+        let need = PlacementRequest { service: "svc", gateway, domain: &domain, tried: &[], now };
         let before = fleet.peers.server_looks();
         place_engine(&fleet, &spec, &shape, 0, &need).expect("room");
         let engines = (case.decode + case.prefill) as u64;
--- a/crates/gateway/tests/peer_traffic.rs
+++ b/crates/gateway/tests/peer_traffic.rs
@@ -5,19 +5,19 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::FAR_PACE;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerReach;
-use umberglade_gateway::belief::RetryCount;
-use umberglade_gateway::belief::report_pace;
-use umberglade_gateway::belief::server_digest;
-use umberglade_gateway::belief::shard_count;
-use umberglade_gateway::belief::shares_shard;
-use umberglade_gateway::peers::FarTurn;
+use umberglade_gateway::cluster::FAR_PACE;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerReach;
+use umberglade_gateway::cluster::RetryCount;
+use umberglade_gateway::cluster::report_interval;
+use umberglade_gateway::cluster::server_digest;
+use umberglade_gateway::cluster::shard_count;
+use umberglade_gateway::cluster::shares_shard;
 use umberglade_gateway::peers::LoadReport;
-use umberglade_gateway::peers::PeerBook;
 use umberglade_gateway::peers::PeerGroups;
 use umberglade_gateway::peers::PeerMessage;
+use umberglade_gateway::peers::PeerRegistry;
+use umberglade_gateway::peers::RemotePeerCycle;
 use umberglade_gateway::peers::SendBudget;
 
 const SERVERS_PER_GATEWAY: usize = 10;
@@ -28,7 +28,7 @@
 const RUNNING: u64 = 12;
 const SECONDS: u64 = 10;
 /// Of the link of a small instance, 1.25 MB a second, a quarter may go to this.
-const MOST_BYTES_PER_S: f64 = 1.25e6 / 4.0;
+const MAX_BYTES_PER_S: f64 = 1.25e6 / 4.0;
 /// IP and UDP headers.
 const FRAMING: usize = 28;
 
@@ -37,8 +37,8 @@
     SocketAddr::from((Ipv4Addr::new(10, 0, high, low), 7660))
 }
 
-fn book(gateways: usize) -> PeerBook {
-    let book = PeerBook::default();
+fn book(gateways: usize) -> PeerRegistry {
+    let book = PeerRegistry::default();
     for place in 0..gateways {
         book.insert(&format!("front-{place}"), address(place));
     }
@@ -83,18 +83,18 @@
     let PeerGroups { near, far } = book(gateways).groups("front-0", shards);
     let begun = Instant::now();
     let mut budget = SendBudget::new(begun);
-    let mut far_turn = FarTurn::new(begun);
+    let mut remote_peer_cycle = RemotePeerCycle::new(begun);
     let mut change = begun;
     let pause = Duration::from_secs(1) / (STREAMS_PER_S * CHANGES_PER_STREAM) as u32;
     let (mut now, mut sent) = (begun, 0);
     while now < begun + Duration::from_secs(SECONDS) {
-        let due = now + report_pace(near.len());
+        let due = now + report_interval(near.len());
         while change <= now {
             change += pause;
         }
         now = if change < due { budget.send_at(near.len(), due, change) } else { due };
         sent += near.len() * bytes(report(PeerReach::Near, 1));
-        let told = far_turn.next(&far, FAR_PACE, now);
+        let told = remote_peer_cycle.next(&far, FAR_PACE, now);
         sent += told.len() * bytes(report(PeerReach::Far, 1));
     }
     sent as f64 / SECONDS as f64
@@ -108,7 +108,7 @@
     for gateways in [195, 301, 340] {
         let many = sent_per_s(gateways);
         let power = (many / few).ln() / (gateways as f64 / 30.0).ln();
-        assert!(many < MOST_BYTES_PER_S, "{gateways} gateways: {many:.0} bytes a second");
+        assert!(many < MAX_BYTES_PER_S, "{gateways} gateways: {many:.0} bytes a second");
         assert!(power < 0.5, "{gateways} gateways: {few:.0} to {many:.0}, power {power:.2}");
     }
 }
@@ -158,7 +158,7 @@
 fn far_gateways_are_told_in_turn() {
     let far: Vec<SocketAddr> = (1..=263).map(address).collect();
     let begun = Instant::now();
-    let mut turn = FarTurn::new(begun);
+    let mut turn = RemotePeerCycle::new(begun);
     let mut told = Vec::new();
     for step in 1..=10 {
         let now = begun + Duration::from_millis(100 * step);
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::LoadShare;
-use umberglade_gateway::belief::PeerNews;
-use umberglade_gateway::belief::PlaceNeed;
-use umberglade_gateway::belief::PlaceRefusal;
-use umberglade_gateway::belief::ServerOutcome;
-use umberglade_gateway::belief::place_engine;
-use umberglade_gateway::belief::place_plain;
-use umberglade_gateway::belief::server_digest;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::LoadShare;
+use umberglade_gateway::cluster::PeerUpdate;
+use umberglade_gateway::cluster::PlacementError;
+use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::ServerOutcome;
+use umberglade_gateway::cluster::place_engine;
+use umberglade_gateway::cluster::place_plain;
+use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -54,8 +54,8 @@
     fleet
 }
 
-fn need<'a>(domain: &'a DomainKey, tried: &'a [ServerKey], now: Instant) -> PlaceNeed<'a> {
-    PlaceNeed { service: "svc", gateway: server_digest("gw-1"), domain, tried, now }
+fn need<'a>(domain: &'a DomainKey, tried: &'a [ServerKey], now: Instant) -> PlacementRequest<'a> {
+    PlacementRequest { service: "svc", gateway: server_digest("gw-1"), domain, tried, now }
 }
 
 fn calls(running: u32) -> LoadShare {
@@ -93,7 +93,7 @@
         }
         Change::Peer(server, running) => {
             let loads = [(server_digest(server), calls(running))].into();
-            let news = PeerNews { loads, ..PeerNews::default() };
+            let news = PeerUpdate { loads, ..PeerUpdate::default() };
             fleet.peers.note("peer", 1, 1, news, now);
         }
         Change::Outcome(server, outcome, times) => {
@@ -102,7 +102,7 @@
         Change::PeersPassOver(server, peers) => {
             for peer in 0..peers {
                 let aside = [server_digest(server)].into_iter().collect();
-                let news = PeerNews { aside, ..PeerNews::default() };
+                let news = PeerUpdate { aside, ..PeerUpdate::default() };
                 fleet.peers.note(&format!("peer-{peer}"), 1, 1, news, now);
             }
         }
@@ -123,7 +123,7 @@
     struct Case {
         name: &'static str,
         changes: &'static [Change],
-        expected: Result<&'static str, PlaceRefusal>,
+        expected: Result<&'static str, PlacementError>,
     }
     use Change::*;
     use ServerOutcome::*;
@@ -173,7 +173,7 @@
         Case {
             name: "nobody left",
             changes: &[Leaves("a"), Leaves("b"), Removed("c")],
-            expected: Err(PlaceRefusal::NoServer),
+            expected: Err(PlacementError::NoServer),
         },
     ];
     for case in cases {
@@ -220,7 +220,7 @@
         let placed = place_engine(&fleet, &spec(), &SHAPE, 0, &need(&domain, &[], now));
         assert_eq!(placed.is_ok(), case.has_room, "{}: {placed:?}", case.name);
         if !case.has_room {
-            assert_eq!(placed, Err(PlaceRefusal::NoRoom));
+            assert_eq!(placed, Err(PlacementError::NoRoom));
         }
     }
 }
@@ -322,7 +322,7 @@
         let mut prefills: HashMap<ServerKey, usize> = HashMap::new();
         for at in 0..case.gateways {
             let gateway = server_digest(&format!("front-{at}"));
-            let need = PlaceNeed { gateway, ..need(&domain, &[], now) };
+            let need = PlacementRequest { gateway, ..need(&domain, &[], now) };
             let place = place_engine(&fleet, &spec(), &SHAPE, 0, &need).unwrap();
             *decodes.entry(place.decode).or_default() += 1;
             *prefills.entry(place.prefill.unwrap()).or_default() += 1;
@@ -343,9 +343,9 @@
     for at in 0..50 {
         let mut fleet = fleet(ServerStage::Decode, &[("idle", "z1"), ("used", "z1")]);
         let loads = [(server_digest("used"), streams(1, 0))].into();
-        fleet.peers.note("peer", 1, 1, PeerNews { loads, ..PeerNews::default() }, now);
+        fleet.peers.note("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
         let gateway = server_digest(&format!("front-{at}"));
-        let need = PlaceNeed { gateway, ..need(&domain, &[], now) };
+        let need = PlacementRequest { gateway, ..need(&domain, &[], now) };
         let place = place_engine(&fleet, &spec(), &SHAPE, 0, &need).unwrap();
         assert_eq!(&*place.decode, "idle", "gateway {at}");
     }
--- a/crates/gateway/tests/quota_pool.rs
+++ b/crates/gateway/tests/quota_pool.rs
@@ -6,15 +6,15 @@
 use std::time::Instant;
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::ChargeNews;
-use umberglade_gateway::belief::OrganisationDigest;
-use umberglade_gateway::belief::QuotaPool;
-use umberglade_gateway::belief::QuotaView;
-use umberglade_gateway::belief::organisation_digest;
-use umberglade_gateway::belief::report_pace;
+use umberglade_gateway::cluster::ChargeUpdate;
+use umberglade_gateway::cluster::OrganisationDigest;
+use umberglade_gateway::cluster::QuotaPool;
+use umberglade_gateway::cluster::QuotaView;
+use umberglade_gateway::cluster::organisation_digest;
+use umberglade_gateway::cluster::report_interval;
 use umberglade_gateway::model::KeyDigest;
 use umberglade_gateway::model::Organisation;
-use umberglade_gateway::model::OrganisationBook;
+use umberglade_gateway::model::OrganisationRegistry;
 use umberglade_gateway::model::QuotaLimit;
 use umberglade_gateway::model::QuotaUnit;
 
@@ -27,10 +27,10 @@
 const COST: u64 = 6_000;
 const STEP: Duration = Duration::from_millis(5);
 
-fn book(rate: f64, burst: f64) -> OrganisationBook {
+fn book(rate: f64, burst: f64) -> OrganisationRegistry {
     let quota = QuotaLimit { unit: QuotaUnit::Tokens { plain: 200 }, rate, burst };
     let organisation = Organisation { name: NAME.into(), priority: None, quota: Some(quota) };
-    let mut book = OrganisationBook::default();
+    let mut book = OrganisationRegistry::default();
     book.add(organisation, [KeyDigest::of(b"key")]);
     book
 }
@@ -42,7 +42,7 @@
     to: usize,
     incarnation: u64,
     age: Duration,
-    charges: Vec<(OrganisationDigest, ChargeNews)>,
+    charges: Vec<(OrganisationDigest, ChargeUpdate)>,
 }
 
 struct Gateway {
@@ -131,11 +131,11 @@
         let heard = self.gateways[place].heard_at.iter().filter(is_live).count();
         let newest = self.gateways[place].heard_at.iter().flatten().max();
         let unheard_for = newest.map_or(Duration::MAX, |at| self.now - *at);
-        let unheard_for = unheard_for.max(report_pace(heard) + STEP);
+        let unheard_for = unheard_for.max(report_interval(heard) + STEP);
         QuotaView {
             heard,
             members: self.gateways.len(),
-            report_age: report_pace(heard) + STEP,
+            report_age: report_interval(heard) + STEP,
             unheard_for,
             window: WINDOW,
             overage: OVERAGE,
@@ -182,7 +182,7 @@
         if self.now < gateway.reports_at {
             return;
         }
-        gateway.reports_at = self.now + report_pace(count);
+        gateway.reports_at = self.now + report_interval(count);
         let tells_all = self.now >= gateway.tells_all_at;
         if tells_all {
             gateway.tells_all_at = self.now + Duration::from_secs(2);
--- a/crates/gateway/tests/report_budget.rs
+++ b/crates/gateway/tests/report_budget.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::report_pace;
+use umberglade_gateway::cluster::report_interval;
 use umberglade_gateway::peers::SendBudget;
 
 /// Changes at one gateway, evenly spread, among its regular reports.
@@ -46,7 +46,7 @@
     for case in cases {
         let begun = Instant::now();
         let mut budget = SendBudget::new(begun);
-        let pace = report_pace(case.peers);
+        let pace = report_interval(case.peers);
         let mut due = begun + pace;
         let mut told_at = begun;
         let (mut waits, mut sent) = (Duration::ZERO, 0);
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -4,10 +4,10 @@
 use std::time::Instant;
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::HeardRetries;
-use umberglade_gateway::belief::RetryAllowance;
-use umberglade_gateway::belief::RetryCount;
-use umberglade_gateway::belief::RetryUse;
+use umberglade_gateway::cluster::PeerRetries;
+use umberglade_gateway::cluster::RetryBudget;
+use umberglade_gateway::cluster::RetryCount;
+use umberglade_gateway::cluster::RetryVerdict;
 use umberglade_gateway::model::ServiceName;
 
 const RATIO: f64 = 0.2;
@@ -16,7 +16,7 @@
 
 /// Gateways with one service, whose reports to each other are `lag` old.
 struct Gateways {
-    allowances: Vec<RetryAllowance>,
+    allowances: Vec<RetryBudget>,
     /// Counts as reported last, by gateway.
     reported: Vec<RetryCount>,
     /// Which gateways hear each other.
@@ -29,7 +29,7 @@
 
 impl Gateways {
     fn new(count: usize, hears: bool, begun: Instant) -> Self {
-        let allowance = || RetryAllowance::new(RATIO, SLACK, WINDOW, begun);
+        let allowance = || RetryBudget::new(RATIO, SLACK, WINDOW, begun);
         Gateways {
             allowances: (0..count).map(|_| allowance()).collect(),
             reported: vec![RetryCount::default(); count],
@@ -47,18 +47,23 @@
 
     fn repeat(&mut self, gateway: usize, now: Instant) -> bool {
         let members = self.allowances.len();
-        let heard = if self.hears { self.heard_by(gateway) } else { HeardRetries::default() };
-        let is_allowed =
-            self.allowances[gateway].spend(&self.service, members, heard, RetryUse::Needed, now);
+        let heard = if self.hears { self.heard_by(gateway) } else { PeerRetries::default() };
+        let is_allowed = self.allowances[gateway].spend(
+            &self.service,
+            members,
+            heard,
+            RetryVerdict::Needed,
+            now,
+        );
         if is_allowed {
             self.repeats.push(now);
         }
         is_allowed
     }
 
-    fn heard_by(&self, gateway: usize) -> HeardRetries {
+    fn heard_by(&self, gateway: usize) -> PeerRetries {
         let others = self.reported.iter().enumerate().filter(|(at, _)| *at != gateway);
-        others.fold(HeardRetries::default(), |sum, (_, count)| HeardRetries {
+        others.fold(PeerRetries::default(), |sum, (_, count)| PeerRetries {
             gateways: sum.gateways + 1,
             count: RetryCount {
                 requests: sum.count.requests + count.requests,
@@ -172,13 +177,13 @@
     let begun = Instant::now();
     let now = begun + WINDOW;
     let service: ServiceName = "svc".into();
-    let mut allowance = RetryAllowance::new(RATIO, SLACK, WINDOW, begun);
+    let mut allowance = RetryBudget::new(RATIO, SLACK, WINDOW, begun);
     let mut spend = |use_for| {
-        let heard = HeardRetries::default();
+        let heard = PeerRetries::default();
         (0..1000).filter(|_| allowance.spend(&service, 1, heard, use_for, now)).count()
     };
-    let helpful = spend(RetryUse::Helpful);
-    let needed = spend(RetryUse::Needed);
+    let helpful = spend(RetryVerdict::Helpful);
+    let needed = spend(RetryVerdict::Needed);
     assert!((1..=38).contains(&helpful), "{helpful}");
     assert!(needed >= 1 && helpful + needed <= 42, "{helpful} and {needed}");
 }
@@ -214,13 +219,13 @@
     let now = begun + WINDOW * 2;
     let service: ServiceName = "svc".into();
     let allowed_after = |rejected: u32| {
-        let mut allowance = RetryAllowance::new(RATIO, SLACK, WINDOW, begun);
+        let mut allowance = RetryBudget::new(RATIO, SLACK, WINDOW, begun);
         (0..100).for_each(|_| allowance.note_request(&service, now));
         (0..rejected).for_each(|_| allowance.note_repeat(&service, now));
         // Further apart than reports may be old, all within one window.
         let spend = |at: u32| {
             let later = now + Duration::from_millis(120) * (at + 1);
-            allowance.spend(&service, 1, HeardRetries::default(), RetryUse::Needed, later)
+            allowance.spend(&service, 1, PeerRetries::default(), RetryVerdict::Needed, later)
         };
         (0..75).map(spend).filter(|is_allowed| *is_allowed).count() as u32
     };
--- a/crates/gateway/tests/server_backoffs.rs
+++ b/crates/gateway/tests/server_backoffs.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::PlaceNeed;
-use umberglade_gateway::belief::ServerBackoffs;
-use umberglade_gateway::belief::place_plain;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::ServerBackoffs;
+use umberglade_gateway::cluster::place_plain;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerIncarnation;
@@ -40,7 +40,7 @@
 
 fn is_placed(fleet: &Fleet, now: Instant) -> bool {
     let domain: DomainKey = "z".into();
-    let need = PlaceNeed { service: "svc", gateway: OWN, domain: &domain, tried: &[], now };
+    let need = PlacementRequest { service: "svc", gateway: OWN, domain: &domain, tried: &[], now };
     place_plain(fleet, &need).is_ok()
 }
 
@@ -111,17 +111,17 @@
     let (mut before, server) = fleet(OWN);
     before.note_backoff(server, Duration::from_secs(3), now);
     let (mut other, _) = fleet(OTHER);
-    for news in before.backoff_news(false, &[], now) {
+    for news in before.backoff_update(false, &[], now) {
         assert!(!other.hear_backoff(news, now), "the backoff of another gateway was applied");
     }
     assert!(is_placed(&other, now));
     let later = now + Duration::from_secs(1);
     assert!(
-        other.backoff_news(true, &[], later).is_empty(),
+        other.backoff_update(true, &[], later).is_empty(),
         "reports the backoff of another gateway"
     );
     let (mut restarted, _) = fleet(OWN);
-    for news in other.backoff_news(true, &[OWN], later) {
+    for news in other.backoff_update(true, &[OWN], later) {
         assert!(restarted.hear_backoff(news, later));
     }
     assert!(!is_placed(&restarted, now + Duration::from_millis(2990)));
@@ -133,15 +133,15 @@
 #[test]
 fn reports_of_many_departures_and_backoffs_fit() {
     const SERVERS: u64 = 890;
-    const MOST_BYTES: usize = 8192 * 3 / 8;
+    const MAX_BYTES: usize = 8192 * 3 / 8;
     let now = Instant::now();
     let mut fleet = Fleet::new(u64::MAX);
     for server in 0..SERVERS {
         fleet.note_backoff(u64::MAX - server, Duration::from_secs(3600), now);
         fleet.note_departure(u64::MAX - server, now);
     }
-    let news = (fleet.backoff_news(true, &[], now), fleet.departures.news(true, now));
+    let news = (fleet.backoff_update(true, &[], now), fleet.departures.news(true, now));
     let bytes = postcard::to_allocvec(&news).expect("plain fields").len();
     assert!(!news.0.is_empty() && !news.1.is_empty());
-    assert!(bytes <= MOST_BYTES, "{bytes} bytes of departures and backoffs");
+    assert!(bytes <= MAX_BYTES, "{bytes} bytes of departures and backoffs");
 }
--- a/crates/gateway/tests/server_limits.rs
+++ b/crates/gateway/tests/server_limits.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::LimitNews;
-use umberglade_gateway::belief::ServerLimits;
+use umberglade_gateway::cluster::LimitUpdate;
+use umberglade_gateway::cluster::ServerLimits;
 use umberglade_gateway::model::RequestRate;
 use umberglade_gateway::model::StatedLimit;
 
@@ -112,7 +112,7 @@
     for case in cases {
         let mut limits = ServerLimits::default();
         for (age_ms, limit) in case.reports {
-            let news = LimitNews { server: SERVER, rate: limit.map(rate), age_ms };
+            let news = LimitUpdate { server: SERVER, rate: limit.map(rate), age_ms };
             limits.hear(news, now);
         }
         assert_eq!(limits.limit(SERVER).map(RequestRate::per_second), case.limit, "{}", case.name);
@@ -126,7 +126,7 @@
 fn reports_of_many_limits_fit_and_cover_all() {
     const SERVERS: u64 = 890;
     const REPORTS: usize = 300;
-    const MOST_BYTES: usize = 8192 / 4;
+    const MAX_BYTES: usize = 8192 / 4;
     let now = Instant::now();
     let later = now + Duration::from_secs(3600);
     let mut sender = ServerLimits::default();
@@ -138,7 +138,7 @@
     for _ in 0..REPORTS {
         let news = sender.news(true, later);
         let bytes = postcard::to_allocvec(&news).expect("plain fields").len();
-        assert!(bytes <= MOST_BYTES, "{bytes} bytes of limits");
+        assert!(bytes <= MAX_BYTES, "{bytes} bytes of limits");
         for limit in news {
             receiver.hear(limit, later);
         }
--- a/crates/gateway/tests/stage_balance.rs
+++ b/crates/gateway/tests/stage_balance.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use umberglade_gateway::belief::ReadingPace;
-use umberglade_gateway::belief::StageBalance;
+use umberglade_gateway::cluster::PrefillRate;
+use umberglade_gateway::cluster::StageBalance;
 use umberglade_gateway::model::EngineSpec;
 
 /// The time that every prompt takes besides its tokens, in milliseconds.
@@ -14,8 +14,8 @@
     (0..60u32).map(|at| 1000 + (at * 2741) % 9000 + if at % 3 == 0 { 5000 } else { 0 })
 }
 
-fn learned(tokens_per_ms: f64, base_ms: f64) -> ReadingPace {
-    let mut pace = ReadingPace::default();
+fn learned(tokens_per_ms: f64, base_ms: f64) -> PrefillRate {
+    let mut pace = PrefillRate::default();
     for tokens in prompts() {
         let millis = base_ms + f64::from(tokens) / tokens_per_ms;
         pace.note(tokens, Duration::from_secs_f64(millis / 1000.0));
@@ -45,7 +45,7 @@
         let true_time = case.base_ms + 20_000.0 / case.tokens_per_ms;
         assert!((estimate / true_time - 1.0).abs() < 0.3, "{estimate} for {true_time}");
     }
-    let mut new = ReadingPace::default();
+    let mut new = PrefillRate::default();
     new.note(5000, Duration::from_millis(200));
     assert_eq!(new.millis_per_token(), None, "one prompt tells nothing");
 }
@@ -54,7 +54,7 @@
 /// too much rather than too little.
 #[test]
 fn prompts_of_one_length_count_in_full() {
-    let mut pace = ReadingPace::default();
+    let mut pace = PrefillRate::default();
     (0..40).for_each(|_| pace.note(1000, Duration::from_millis(100)));
     let slope = pace.millis_per_token().expect("enough prompts");
     assert!((slope - 0.1).abs() < 0.001, "{slope}");
--- a/crates/gateway/tests/stage_watch.rs
+++ b/crates/gateway/tests/stage_watch.rs
@@ -3,30 +3,30 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::Fleet;
-use umberglade_gateway::belief::StageChange;
-use umberglade_gateway::belief::StageLook;
-use umberglade_gateway::belief::StageWatch;
-use umberglade_gateway::belief::stage_choice;
-use umberglade_gateway::duty::DutyRow;
-use umberglade_gateway::duty::may_claim;
+use umberglade_gateway::cluster::Fleet;
+use umberglade_gateway::cluster::StageChange;
+use umberglade_gateway::cluster::StageSnapshot;
+use umberglade_gateway::cluster::StageWatch;
+use umberglade_gateway::cluster::choose_stage_change;
+use umberglade_gateway::leader::LeaderRow;
+use umberglade_gateway::leader::may_claim;
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
 /// The same look each 200 ms.
 struct WatchCase {
     name: &'static str,
-    look: StageLook,
+    look: StageSnapshot,
     seconds: f64,
     change: Option<StageChange>,
 }
 
-fn look(prefill: usize, prefill_busy: usize, decode: usize, waiting: usize) -> StageLook {
-    StageLook { prefill, prefill_busy, decode, waiting, wanted: None }
+fn look(prefill: usize, prefill_busy: usize, decode: usize, waiting: usize) -> StageSnapshot {
+    StageSnapshot { prefill, prefill_busy, decode, waiting, wanted: None }
 }
 
-fn wanting(wanted: usize, look: StageLook) -> StageLook {
-    StageLook { wanted: Some(wanted), ..look }
+fn wanting(wanted: usize, look: StageSnapshot) -> StageSnapshot {
+    StageSnapshot { wanted: Some(wanted), ..look }
 }
 
 fn to_decode(count: usize) -> Option<StageChange> {
@@ -177,15 +177,16 @@
         fleet.upsert(entry, at + 1);
     }
     let change = StageChange { to: ServerStage::Decode, count: 6 };
-    let chosen = stage_choice(&fleet, "svc", change, now);
+    let chosen = choose_stage_change(&fleet, "svc", change, now);
     assert_eq!(chosen.len(), 6);
     for domain in ["a", "b", "c"] {
         let here = chosen.iter().filter(|key| &*fleet.server(key).unwrap().entry.domain == domain);
         assert_eq!(here.count(), 2, "{domain}: {chosen:?}");
     }
     fleet.begin_change(&chosen[0], ServerStage::Decode, now);
-    let open =
-        fleet.open_servers("svc", now).filter(|(belief, _)| belief.entry.server == chosen[0]);
+    let open = fleet
+        .open_servers("svc", now)
+        .filter(|(server_state, _)| server_state.entry.server == chosen[0]);
     assert_eq!(open.count(), 0, "an engine that changes gets no work");
 }
 
@@ -193,7 +194,7 @@
 /// until the claim has ended by the store's clock.
 #[test]
 fn a_duty_is_claimed_once_at_a_time() {
-    let row = DutyRow { holder: "gw-1".into(), until: Duration::from_secs(20) };
+    let row = LeaderRow { holder: "gw-1".into(), until: Duration::from_secs(20) };
     let cases = [
         ("nobody has it", None, 0, true),
         ("held", Some(&row), 19, false),
--- a/crates/gateway/tests/read_roster.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::PeerRank;
-use umberglade_gateway::belief::ReadNotice;
-use umberglade_gateway::belief::ReadRoster;
-use umberglade_gateway::belief::ReadTurn;
+use umberglade_gateway::cluster::ReadRole;
+use umberglade_gateway::cluster::ReaderNotice;
+use umberglade_gateway::cluster::ReaderRank;
+use umberglade_gateway::cluster::TableReaders;
 
 /// A change must be known within this.
 const BOUND: Duration = Duration::from_secs(3);
@@ -15,7 +15,7 @@
 const OTHER: u64 = 8;
 /// The gateway under test.
 const OWN: u64 = 100;
-const CROWD: PeerRank = PeerRank { peers: 78, before: 40 };
+const CROWD: ReaderRank = ReaderRank { peers: 78, before: 40 };
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
@@ -46,33 +46,33 @@
 }
 
 fn play(case: &RosterCase) {
-    let mut roster = ReadRoster::new(OWN, BOUND, 0.0);
+    let mut roster = TableReaders::new(OWN, BOUND, 0.0);
     let mut now = Instant::now() + Duration::from_secs(60);
     for (at, step) in case.steps.iter().enumerate() {
         let what = format!("{}, step {at} {step:?}", case.name);
-        let few = PeerRank { peers: 6, before: 5 };
+        let few = ReaderRank { peers: 6, before: 5 };
         match *step {
             Step::Read(fingerprint) => roster.note_read(fingerprint, now),
             Step::Failed => roster.note_failed(),
             Step::Told(fingerprint) => roster.note_told(fingerprint),
             Step::Hear { peer, fingerprint, age_ms } => {
                 let read_at = now - Duration::from_millis(age_ms);
-                roster.hear(peer, ReadNotice { fingerprint, read_at, is_heavy: false });
+                roster.hear(peer, ReaderNotice { fingerprint, read_at, is_heavy: false });
             }
             Step::Wait(millis) => now += Duration::from_millis(millis),
-            Step::Reads => assert_eq!(roster.turn(CROWD, now), ReadTurn::Own, "{what}"),
-            Step::ReadsAmongFew => assert_eq!(roster.turn(few, now), ReadTurn::Own, "{what}"),
+            Step::Reads => assert_eq!(roster.turn(CROWD, now), ReadRole::Own, "{what}"),
+            Step::ReadsAmongFew => assert_eq!(roster.turn(few, now), ReadRole::Own, "{what}"),
             Step::IsTold => match roster.turn(CROWD, now) {
-                ReadTurn::Own => panic!("{what}: reads"),
-                ReadTurn::Told { until } => assert!(until > now, "{what}"),
+                ReadRole::Own => panic!("{what}: reads"),
+                ReadRole::Told { until } => assert!(until > now, "{what}"),
             },
             Step::Tells(tells) => assert_eq!(roster.own_notice(now).is_some(), tells, "{what}"),
         }
     }
 }
 
-fn notice(read_at: Instant, is_heavy: bool) -> ReadNotice {
-    ReadNotice { fingerprint: HELD, read_at, is_heavy }
+fn notice(read_at: Instant, is_heavy: bool) -> ReaderNotice {
+    ReaderNotice { fingerprint: HELD, read_at, is_heavy }
 }
 
 fn hear(peer: u64, fingerprint: u64) -> Step {
@@ -172,13 +172,13 @@
 fn gateways_step_in_one_after_the_other() {
     let now = Instant::now() + Duration::from_secs(60);
     let stepped_in = |before: usize, after_ms: u64| {
-        let rank = PeerRank { peers: 78, before };
-        let mut roster = ReadRoster::new(OWN, BOUND, 0.0);
+        let rank = ReaderRank { peers: 78, before };
+        let mut roster = TableReaders::new(OWN, BOUND, 0.0);
         roster.note_read(HELD, now);
         for peer in 1..=3 {
             roster.hear(peer, notice(now, false));
         }
-        assert!(matches!(roster.turn(rank, now), ReadTurn::Told { .. }));
+        assert!(matches!(roster.turn(rank, now), ReadRole::Told { .. }));
         // The first of the three is heard no longer.
         let mut at = now;
         while at < now + Duration::from_millis(1500 + after_ms) {
@@ -186,7 +186,7 @@
             for peer in 2..=3 {
                 roster.hear(peer, notice(at, false));
             }
-            if roster.turn(rank, at) == ReadTurn::Own {
+            if roster.turn(rank, at) == ReadRole::Own {
                 return true;
             }
         }
@@ -229,26 +229,26 @@
     ];
     for case in cases {
         let begun = Instant::now() + Duration::from_secs(60);
-        let mut roster = ReadRoster::new(OWN, BOUND, 0.5);
+        let mut roster = TableReaders::new(OWN, BOUND, 0.5);
         roster.set_heavy(case.own_is_heavy);
         roster.note_read(HELD, begun);
         // Three with greater digests read.
         for peer in 201..=203 {
             roster.hear(peer, notice(begun, case.readers_are_heavy));
         }
-        let is_reader = roster.turn(CROWD, begun) == ReadTurn::Own;
+        let is_reader = roster.turn(CROWD, begun) == ReadRole::Own;
         assert_eq!(is_reader, case.is_reader, "{}", case.name);
     }
     // One that is told steps in for readers for which it is heavier.
     let begun = Instant::now() + Duration::from_secs(60);
-    let mut roster = ReadRoster::new(OWN, BOUND, 0.5);
+    let mut roster = TableReaders::new(OWN, BOUND, 0.5);
     roster.note_read(HELD, begun);
     (1..=3).for_each(|peer| roster.hear(peer, notice(begun, false)));
-    assert!(matches!(roster.turn(CROWD, begun), ReadTurn::Told { .. }));
+    assert!(matches!(roster.turn(CROWD, begun), ReadRole::Told { .. }));
     let steps_in = (1..=60).any(|step| {
         let now = begun + Duration::from_millis(50) * step;
         (1..=3).for_each(|peer| roster.hear(peer, notice(now, true)));
-        roster.turn(CROWD, now) == ReadTurn::Own
+        roster.turn(CROWD, now) == ReadRole::Own
     });
     assert!(steps_in);
 }
--- a/crates/gateway/tests/table_content.rs
+++ b/crates/gateway/tests/table_row_set.rs
@@ -1,7 +1,7 @@
 //! A table's content as one number.
 
 use proptest::prelude::*;
-use umberglade_gateway::belief::TableContent;
+use umberglade_gateway::cluster::TableRowSet;
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
@@ -19,15 +19,15 @@
     same_as: &'static [Step],
 }
 
-fn take(content: &mut TableContent, step: &Step) -> bool {
+fn take(content: &mut TableRowSet, step: &Step) -> bool {
     match *step {
         Step::Row(key, version, digest) => content.note(key, version, Some(digest)),
         Step::Gone(key, version) => content.note(key, version, None),
     }
 }
 
-fn content_of(steps: &[Step]) -> (TableContent, bool) {
-    let mut content = TableContent::default();
+fn content_of(steps: &[Step]) -> (TableRowSet, bool) {
+    let mut content = TableRowSet::default();
     let mut is_news = false;
     for step in steps {
         is_news = take(&mut content, step);
@@ -104,13 +104,13 @@
             .enumerate()
             .map(|(at, (key, digest))| (keys[*key], at as u64 + 1, *digest))
             .collect();
-        let mut straight = TableContent::default();
+        let mut straight = TableRowSet::default();
         for (key, version, digest) in &all {
             straight.note(key, *version, Some(*digest));
         }
         let mut shuffled = all.clone();
         shuffled.sort_by_key(|(_, version, _)| version.wrapping_mul(order | 1));
-        let mut crossed = TableContent::default();
+        let mut crossed = TableRowSet::default();
         for (key, version, digest) in shuffled.iter().chain(&all) {
             crossed.note(key, *version, Some(*digest));
         }
@@ -118,7 +118,7 @@
 
         let newest = keys.iter().filter_map(|key| all.iter().rev().find(|row| row.0 == *key));
         let listed: Vec<(&str, u64, u64)> = newest.copied().collect();
-        let mut listing = TableContent::default();
+        let mut listing = TableRowSet::default();
         listing.note("gone", 1, Some(3));
         let gone = listing.replace(listed.into_iter(), all.len() as u64);
         prop_assert_eq!(gone, vec!["gone".to_owned()]);
@@ -130,7 +130,7 @@
 /// be remembered for good.
 #[test]
 fn rows_that_are_gone_are_forgotten_in_the_end() {
-    let mut content = TableContent::default();
+    let mut content = TableRowSet::default();
     content.note("stays", 1, Some(5));
     let whole = content.fingerprint();
     for at in 0..10_000u64 {
--- a/crates/gateway/tests/told_apart.rs
+++ b/crates/gateway/tests/told_apart.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::belief::ContentVerdict;
-use umberglade_gateway::belief::CrashWatch;
-use umberglade_gateway::belief::OutcomeNews;
-use umberglade_gateway::belief::RowChange;
-use umberglade_gateway::belief::SendOutcome;
+use umberglade_gateway::cluster::CrashDetector;
+use umberglade_gateway::cluster::OutcomeUpdate;
+use umberglade_gateway::cluster::QuarantineVerdict;
+use umberglade_gateway::cluster::RowChange;
+use umberglade_gateway::cluster::SendOutcome;
 
 const FATAL: u64 = 7;
 const POPULAR: u64 = 8;
@@ -19,7 +19,7 @@
 
 /// Three servers crash under both contents; each had given events for so many
 /// milliseconds.
-fn crash_three(watch: &mut CrashWatch, popular_ms: [u64; 3], fatal_ms: u64, now: Instant) {
+fn crash_three(watch: &mut CrashDetector, popular_ms: [u64; 3], fatal_ms: u64, now: Instant) {
     for (server, popular_ms) in (1..).zip(popular_ms) {
         watch.note_crash(POPULAR, server, ms(popular_ms), now);
         watch.note_crash(FATAL, server, ms(fatal_ms), now);
@@ -54,7 +54,7 @@
     ];
     for case in cases {
         let now = Instant::now();
-        let mut watch = CrashWatch::default();
+        let mut watch = CrashDetector::default();
         crash_three(&mut watch, case.popular_ms, case.fatal_ms, now);
         assert_eq!(watch.held(POPULAR, now).is_some(), case.is_popular_held, "{}", case.name);
         assert!(watch.held(FATAL, now).is_some(), "{}", case.name);
@@ -66,11 +66,11 @@
 #[test]
 fn others_are_told_how_long_runs_lived() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0; 3], 57, now);
     assert!(watch.held(POPULAR, now).is_some());
     let outcome = SendOutcome::Lived(200);
-    watch.hear(OutcomeNews { content: POPULAR, outcome, age_ms: 2 }, now);
+    watch.hear(OutcomeUpdate { content: POPULAR, outcome, age_ms: 2 }, now);
     assert!(watch.held(POPULAR, now).is_none());
     assert!(watch.held(FATAL, now).is_some());
 }
@@ -80,11 +80,11 @@
 #[test]
 fn crashes_told_again_change_nothing() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0, 141, 0], 57, now);
     for id in 1..=3 {
         let outcome = SendOutcome::Crashed(id);
-        watch.hear(OutcomeNews { content: POPULAR, outcome, age_ms: 5 }, now + ms(5));
+        watch.hear(OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 }, now + ms(5));
     }
     assert!(watch.held(POPULAR, now + ms(5)).is_none());
 }
@@ -94,15 +94,15 @@
 #[test]
 fn the_likelier_is_probed_at_once() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0, 90, 0], 57, now);
     let popular = watch.held(POPULAR, now).expect("held back");
     let fatal = watch.held(FATAL, now).expect("held back");
     assert!(popular.is_undecided && fatal.is_undecided);
     assert!(popular.left.is_zero() && !fatal.left.is_zero());
-    assert!(matches!(watch.admit(POPULAR, now), ContentVerdict::ProbeDue(_)));
+    assert!(matches!(watch.admit(POPULAR, now), QuarantineVerdict::ProbeDue(_)));
     watch.note_whole(POPULAR, 99, now + ms(400));
-    assert_eq!(watch.admit(POPULAR, now + ms(400)), ContentVerdict::Admitted);
+    assert_eq!(watch.admit(POPULAR, now + ms(400)), QuarantineVerdict::Admitted);
     // One probe tells of the other too, before it counts as fatal.
     let fatal = watch.held(FATAL, now + ms(400)).expect("held back");
     assert!(fatal.is_undecided && fatal.left.is_zero());
@@ -116,14 +116,14 @@
 #[test]
 fn the_last_of_several_awaits_its_probe() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0; 3], 0, now);
     watch.note_unclaimed_probe(POPULAR, now + ms(50));
     watch.note_whole(FATAL, 99, now + ms(200));
     let popular = watch.held(POPULAR, now + ms(210)).expect("held back");
     assert!(popular.is_undecided, "its callers wait");
     watch.note_whole(POPULAR, 99, now + ms(260));
-    assert_eq!(watch.admit(POPULAR, now + ms(260)), ContentVerdict::Admitted);
+    assert_eq!(watch.admit(POPULAR, now + ms(260)), QuarantineVerdict::Admitted);
 }
 
 /// Guards against a probe that is spent on a server known to have crashed: it has
@@ -131,13 +131,13 @@
 #[test]
 fn a_probe_that_meets_a_known_crash_is_not_spent() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0; 3], 0, now);
     watch.note_unclaimed_probe(POPULAR, now + ms(100));
     watch.note_crash(POPULAR, 2, Duration::ZERO, now + ms(101));
     watch.end_probe(POPULAR, now + ms(101));
     let verdict = watch.admit(POPULAR, now + ms(1200));
-    assert!(matches!(verdict, ContentVerdict::Probe(_)), "{verdict:?}");
+    assert!(matches!(verdict, QuarantineVerdict::Probe(_)), "{verdict:?}");
 }
 
 struct RowCase {
@@ -160,11 +160,11 @@
     for case in &cases {
         for is_told_first in [true, false] {
             let now = Instant::now();
-            let mut watch = CrashWatch::new(now);
-            let tell = |watch: &mut CrashWatch| {
+            let mut watch = CrashDetector::new(now);
+            let tell = |watch: &mut CrashDetector| {
                 if let Some(version) = case.void_to {
                     let outcome = SendOutcome::Cleared(version);
-                    watch.hear(OutcomeNews { content: POPULAR, outcome, age_ms: 5 }, now);
+                    watch.hear(OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 }, now);
                 }
             };
             if is_told_first {
@@ -187,12 +187,12 @@
 #[test]
 fn what_is_cleared_is_told_and_its_row_removed() {
     let now = Instant::now();
-    let mut watch = CrashWatch::default();
+    let mut watch = CrashDetector::default();
     crash_three(&mut watch, [0; 3], 0, now);
     watch.note_row(POPULAR, 0, 12, false, now);
     watch.take_row_changes();
     watch.note_whole(POPULAR, 99, now);
     assert_eq!(watch.take_row_changes(), [RowChange::Remove(POPULAR, 12)]);
-    let is_told = |news: &OutcomeNews| news.outcome == SendOutcome::Cleared(12);
+    let is_told = |news: &OutcomeUpdate| news.outcome == SendOutcome::Cleared(12);
     assert!(watch.news(false, now).iter().any(is_told));
 }
--- a/crates/router/src/admission/pace_meter.rs
+++ b/crates/router/src/admission/pace_meter.rs
@@ -8,7 +8,7 @@
 const FIRST_GUESS_NS: u64 = 20_000;
 /// Prompts shorter than this take mostly what any exchange takes, and tell
 /// nothing of the pace of long ones.
-const LEAST_TOKENS: u64 = 1024;
+const MIN_TOKENS: u64 = 1024;
 /// The weight of one more measurement.
 const WEIGHT: f64 = 0.1;
 
@@ -29,7 +29,7 @@
     /// they are enough to tell. Two
     /// measurements at once may lose one; an average bears that.
     pub fn observe(&self, tokens: u64, elapsed: Duration) {
-        if tokens < LEAST_TOKENS {
+        if tokens < MIN_TOKENS {
             return;
         }
         let measured = elapsed.as_nanos() as f64 / tokens as f64;
--- a/crates/router/src/control/follower.rs
+++ b/crates/router/src/control/follower.rs
@@ -19,7 +19,7 @@
 /// ask a platform that is down about 450 times a second, a quarter of what
 /// it takes when well, and a change is still in force within seconds of
 /// its return.
-const LONGEST_PAUSE: Duration = Duration::from_millis(1600);
+const MAX_PAUSE: Duration = Duration::from_millis(1600);
 
 /// Keeps a [`ControlState`] in step with the platform.
 #[derive(Debug, Clone)]
@@ -105,7 +105,7 @@
             self.failures = 0;
             return;
         }
-        let pause = (FIRST_PAUSE * 2u32.saturating_pow(self.failures)).min(LONGEST_PAUSE);
+        let pause = (FIRST_PAUSE * 2u32.saturating_pow(self.failures)).min(MAX_PAUSE);
         self.failures = (self.failures + 1).min(8);
         smol::Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
     }
--- a/crates/router/src/control/server_counters.rs
+++ b/crates/router/src/control/server_counters.rs
@@ -17,7 +17,7 @@
 /// How long a server is set aside after a first failure.
 const FIRST_SET_ASIDE: Duration = Duration::from_millis(500);
 /// The longest it is set aside after failures in a row.
-const LONGEST_SET_ASIDE: Duration = Duration::from_secs(8);
+const MAX_SET_ASIDE: Duration = Duration::from_secs(8);
 
 /// A server's load: its last report corrected by our own count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
@@ -122,7 +122,7 @@
         let mut health = self.health.lock().expect("health lock");
         let doubled = FIRST_SET_ASIDE * 2u32.saturating_pow(health.failures_in_row.min(6));
         health.failures_in_row += 1;
-        health.set_aside_until = Some(Instant::now() + doubled.min(LONGEST_SET_ASIDE));
+        health.set_aside_until = Some(Instant::now() + doubled.min(MAX_SET_ASIDE));
     }
 
     pub(super) fn is_set_aside(&self) -> bool {
--- a/crates/umberglade/tests/answers.rs
+++ b/crates/umberglade/tests/answers.rs
@@ -21,7 +21,7 @@
 
 const MAX_TOKENS: u32 = 40;
 /// Rounds of four callers, each of whom picks one of two servers by chance.
-const MOST_ROUNDS: usize = 20;
+const MAX_ROUNDS: usize = 20;
 
 fn messages(caller: usize) -> Vec<ChatMessage> {
     let content = format!("caller {caller}: my own story");
@@ -165,7 +165,7 @@
     let mut blamed = BTreeSet::new();
     // Which server a short prompt goes to is left to chance: ask until the
     // stalled one has had its turn.
-    for _ in 0..MOST_ROUNDS {
+    for _ in 0..MAX_ROUNDS {
         blamed.append(&mut ask_and_watch(&site));
         if !blamed.is_empty() {
             break;
