--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -17,7 +17,7 @@
 use umberglade_router::placement::AffinityPlacement;
 use umberglade_router::placement::LeastLoadedPlacement;
 use umberglade_router::placement::Placement;
-use umberglade_router::placement::PlacementNeed;
+use umberglade_router::placement::PlacementRequest;
 use umberglade_router::placement::RoundRobinPlacement;
 use umberglade_router::preset::Preset;
 use umberglade_router::prompt::PromptShape;
@@ -71,16 +71,16 @@
 
 fn decide<P: Placement>(placement: &P, slots: &[Arc<ServerSlot>], preset: &Preset) {
     let shape = PromptShape { tokens: 5000, prefix_hash: 7, prefix_tokens: 1800, digest: 1 };
-    let need = PlacementNeed {
+    let need = PlacementRequest {
         shape: &shape,
         priority: Priority::Standard,
         preset,
         domain: "domain-1",
         region: "",
         avoid: &[],
-        picky: false,
+        cached_or_idle_only: false,
         reserve: 2,
-        own_queue_tokens: 16_000,
+        max_local_queue_tokens: 16_000,
     };
     black_box(placement.prefill(slots, &need));
     black_box(placement.decode(slots, &need));
--- a/crates/router/src/admission/class_line.rs
+++ b/crates/router/src/admission/class_queue.rs
@@ -10,56 +10,56 @@
 
 /// Waiters of the standard line, from the front, who may try before their
 /// turn where their prefix is cached.
-pub(super) const EARLY_TRIERS: usize = 32;
+pub(super) const OUT_OF_ORDER_WINDOW: usize = 32;
 /// The span over which the rate of placements is measured.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
 /// The shortest span that tells a rate.
-const RATE_SPAN: Duration = Duration::from_millis(250);
+const MIN_RATE_SPAN: Duration = Duration::from_millis(250);
 /// Placements in the window below which no rate is known.
-const RATE_SAMPLES: usize = 4;
+const MIN_RATE_SAMPLES: usize = 4;
 /// Placements remembered at most.
-const PLACEMENTS_KEPT: usize = 4096;
+const MAX_PLACEMENTS: usize = 4096;
 
 #[derive(Debug)]
-pub(super) struct Waiter {
-    pub ticket: u64,
+pub(super) struct QueuedRequest {
+    pub ticket_id: u64,
     pub wake: Arc<Event>,
 }
 
 /// The line of one class, first come first served.
 #[derive(Debug, Default)]
-pub(super) struct ClassLine {
+pub(super) struct ClassQueue {
     /// Invariant: tickets grow from front to back.
-    pub waiters: VecDeque<Waiter>,
+    pub requests: VecDeque<QueuedRequest>,
     /// Since when somebody has waited without a break.
-    pub busy_since: Option<Instant>,
+    pub nonempty_since: Option<Instant>,
     /// When the latest placements were made, oldest first.
     placements: VecDeque<Instant>,
     /// Placements of the other class since the last of this one.
-    pub passed_over: u32,
+    pub bypass_count: u32,
 }
 
-impl ClassLine {
+impl ClassQueue {
     /// Counts a placement of this class.
-    pub fn note_placement(&mut self) {
+    pub fn record_placement(&mut self) {
         self.placements.push_back(Instant::now());
-        if self.placements.len() > PLACEMENTS_KEPT {
+        if self.placements.len() > MAX_PLACEMENTS {
             self.placements.pop_front();
         }
-        self.passed_over = 0;
+        self.bypass_count = 0;
     }
 
     /// Adds a waiter at the end.
-    pub fn join(&mut self, waiter: Waiter) {
-        self.busy_since.get_or_insert_with(Instant::now);
-        self.waiters.push_back(waiter);
+    pub fn push(&mut self, request: QueuedRequest) {
+        self.nonempty_since.get_or_insert_with(Instant::now);
+        self.requests.push_back(request);
     }
 
     /// Takes the waiter with `ticket` out.
-    pub fn leave(&mut self, ticket: u64) {
-        self.waiters.retain(|waiter| waiter.ticket != ticket);
-        if self.waiters.is_empty() {
-            self.busy_since = None;
+    pub fn remove(&mut self, ticket_id: u64) {
+        self.requests.retain(|request| request.ticket_id != ticket_id);
+        if self.requests.is_empty() {
+            self.nonempty_since = None;
         }
     }
 
@@ -71,25 +71,25 @@
     pub fn rate(&mut self) -> Option<f64> {
         let now = Instant::now();
         let window_start = now.checked_sub(RATE_WINDOW)?;
-        let since = self.busy_since?.max(window_start);
+        let since = self.nonempty_since?.max(window_start);
         while self.placements.front().is_some_and(|at| *at < since) {
             self.placements.pop_front();
         }
         let span = now.duration_since(since);
-        let can_tell = span >= RATE_SPAN && self.placements.len() >= RATE_SAMPLES;
-        can_tell.then(|| self.placements.len() as f64 / span.as_secs_f64())
+        let has_enough_samples = span >= MIN_RATE_SPAN && self.placements.len() >= MIN_RATE_SAMPLES;
+        has_enough_samples.then(|| self.placements.len() as f64 / span.as_secs_f64())
     }
 }
 
 #[derive(Debug, Default)]
-pub(super) struct RoomLines {
-    pub next_ticket: u64,
-    pub urgent: ClassLine,
-    pub standard: ClassLine,
+pub(super) struct ClassQueues {
+    pub next_ticket_id: u64,
+    pub urgent: ClassQueue,
+    pub standard: ClassQueue,
 }
 
-impl RoomLines {
-    pub fn of(&mut self, priority: Priority) -> &mut ClassLine {
+impl ClassQueues {
+    pub fn for_priority(&mut self, priority: Priority) -> &mut ClassQueue {
         match priority {
             Priority::Urgent => &mut self.urgent,
             Priority::Standard => &mut self.standard,
@@ -97,10 +97,10 @@
     }
 
     /// Wakes those who may try, the urgent one first.
-    pub fn wake_firsts(&self) {
-        let urgent = self.urgent.waiters.iter().take(1);
-        for waiter in urgent.chain(self.standard.waiters.iter().take(EARLY_TRIERS)) {
-            waiter.wake.notify(1);
+    pub fn wake_eligible(&self) {
+        let urgent = self.urgent.requests.iter().take(1);
+        for request in urgent.chain(self.standard.requests.iter().take(OUT_OF_ORDER_WINDOW)) {
+            request.wake.notify(1);
         }
     }
 }
--- a/crates/router/src/admission/mod.rs
+++ b/crates/router/src/admission/mod.rs
@@ -1,13 +1,13 @@
 //! What bounds the work a daemon takes on: the waiting room, the retry
 //! budget and the pace it predicts by.
 
-mod class_line;
-mod pace_meter;
+mod admission_queue;
+mod class_queue;
+mod prefill_time_estimator;
 mod retry_budget;
-mod waiting_room;
 
-pub use self::pace_meter::PaceMeter;
+pub use self::admission_queue::AdmissionQueue;
+pub use self::admission_queue::PlacementMode;
+pub use self::admission_queue::QueueRejection;
+pub use self::prefill_time_estimator::PrefillTimeEstimator;
 pub use self::retry_budget::RetryBudget;
-pub use self::waiting_room::RoomRefusal;
-pub use self::waiting_room::RoomTurn;
-pub use self::waiting_room::WaitingRoom;
--- a/crates/router/src/admission/retry_budget.rs
+++ b/crates/router/src/admission/retry_budget.rs
@@ -3,9 +3,9 @@
 use std::sync::Mutex;
 
 /// Retries earned by each first attempt.
-const EARNED_PER_REQUEST: f64 = 0.2;
+const RETRIES_PER_REQUEST: f64 = 0.2;
 /// Retries that can be saved up, and what a daemon starts with.
-const LARGEST_BALANCE: f64 = 20.0;
+const MAX_BALANCE: f64 = 20.0;
 
 /// A token bucket filled by first attempts and drained by retries.
 ///
@@ -20,19 +20,19 @@
 
 impl Default for RetryBudget {
     fn default() -> Self {
-        RetryBudget { balance: Mutex::new(LARGEST_BALANCE) }
+        RetryBudget { balance: Mutex::new(MAX_BALANCE) }
     }
 }
 
 impl RetryBudget {
     /// Counts a first attempt.
-    pub fn earn(&self) {
+    pub fn deposit(&self) {
         let mut balance = self.balance.lock().expect("budget lock");
-        *balance = (*balance + EARNED_PER_REQUEST).min(LARGEST_BALANCE);
+        *balance = (*balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
     /// True when one retry may be made; it is then spent.
-    pub fn spend(&self) -> bool {
+    pub fn try_consume(&self) -> bool {
         let mut balance = self.balance.lock().expect("budget lock");
         if *balance < 1.0 {
             return false;
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -15,9 +15,9 @@
 use umberglade_wire::ids::ModelName;
 use umberglade_wire::ids::RequestId;
 
-use crate::admission::PaceMeter;
+use crate::admission::AdmissionQueue;
+use crate::admission::PrefillTimeEstimator;
 use crate::admission::RetryBudget;
-use crate::admission::WaitingRoom;
 use crate::control::ControlState;
 use crate::events;
 use crate::idempotency::IdempotencyLedger;
@@ -50,9 +50,9 @@
     pub(crate) placement: P,
     pub(crate) metrics: Option<PrometheusHandle>,
     pub(crate) budget: RetryBudget,
-    pub(crate) pace: PaceMeter,
+    pub(crate) pace: PrefillTimeEstimator,
     pub(crate) ledger: IdempotencyLedger,
-    rooms: Mutex<HashMap<ModelName, Arc<WaitingRoom>>>,
+    rooms: Mutex<HashMap<ModelName, Arc<AdmissionQueue>>>,
     /// Requests admitted and not yet answered in full.
     in_flight: AtomicU32,
     next_sequence: AtomicU64,
@@ -94,7 +94,7 @@
             placement,
             metrics,
             budget: RetryBudget::default(),
-            pace: PaceMeter::default(),
+            pace: PrefillTimeEstimator::default(),
             ledger,
             rooms: Mutex::new(HashMap::new()),
             in_flight: AtomicU32::new(0),
@@ -178,7 +178,7 @@
 
     /// The waiting room of `model`. Call only for models that have
     /// servers: a room is kept for good.
-    pub(crate) fn room(&self, model: &str) -> Arc<WaitingRoom> {
+    pub(crate) fn room(&self, model: &str) -> Arc<AdmissionQueue> {
         let mut rooms = self.shared.rooms.lock().expect("rooms lock");
         if let Some(room) = rooms.get(model) {
             return Arc::clone(room);
--- a/crates/router/src/front/completion.rs
+++ b/crates/router/src/front/completion.rs
@@ -12,11 +12,11 @@
 use umberglade_wire::server::read_body;
 
 use super::bad_request;
-use super::not_now;
+use super::unavailable;
 use crate::daemon::AdmissionGuard;
 use crate::daemon::Daemon;
 use crate::events;
-use crate::pipeline::Admitted;
+use crate::pipeline::AdmittedRequest;
 use crate::placement::Placement;
 use crate::prompt;
 use crate::prompt::PromptShape;
@@ -55,10 +55,10 @@
         organisation: OrganisationId,
         parsed: ParsedCompletion,
         kind: CompletionKind,
-    ) -> Result<(Admitted, AdmissionGuard<P>), Response<ReplyBody>> {
+    ) -> Result<(AdmittedRequest, AdmissionGuard<P>), Response<ReplyBody>> {
         let snapshot = self.shared.control.current();
         let Some(preset) = snapshot.preset.clone() else {
-            return Err(not_now("no_preset", "no preset in force yet"));
+            return Err(unavailable("no_preset", "no preset in force yet"));
         };
         let guard = self.admit(&preset)?;
         let is_short = parsed.shape.tokens <= preset.urgent_prompt_tokens;
@@ -75,7 +75,7 @@
             fence = snapshot.fence,
             "request admitted"
         );
-        let admitted = Admitted {
+        let admitted = AdmittedRequest {
             request_id,
             organisation,
             model: parsed.model,
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -2,7 +2,7 @@
 //! balancer's health check, status and metrics.
 
 mod completion;
-mod refusal;
+mod rejection;
 mod service;
 
 use std::net::SocketAddr;
@@ -21,11 +21,11 @@
 use umberglade_wire::server::RequestHandler;
 
 pub use self::completion::CompletionKind;
-pub(crate) use self::refusal::RETRY_AFTER_S;
-pub(crate) use self::refusal::bad_request;
-pub(crate) use self::refusal::not_found;
-pub(crate) use self::refusal::not_now;
-pub(crate) use self::refusal::refuse;
+pub(crate) use self::rejection::RETRY_AFTER_S;
+pub(crate) use self::rejection::bad_request;
+pub(crate) use self::rejection::not_found;
+pub(crate) use self::rejection::reject;
+pub(crate) use self::rejection::unavailable;
 use crate::daemon::AdmissionGuard;
 use crate::daemon::Daemon;
 use crate::placement::Placement;
@@ -47,7 +47,7 @@
             (&Method::GET, "/metrics") => Ok(self.metrics()),
             _ => Err(not_found()),
         };
-        result.unwrap_or_else(|refusal| refusal)
+        result.unwrap_or_else(|rejection| rejection)
     }
 }
 
@@ -86,12 +86,12 @@
         // A daemon that has not read the organisations yet knows no key:
         // it must not tell a proper caller that its key is bad.
         if snapshot.organisations_version == 0 {
-            return Err(not_now("no_organisations", "organisations not read yet; not run"));
+            return Err(unavailable("no_organisations", "organisations not read yet; not run"));
         }
         match snapshot.api_keys.get(key) {
             Some(organisation) => Ok(organisation.clone()),
             None => {
-                Err(refuse(StatusCode::UNAUTHORIZED, "invalid_api_key", "unknown API key", None))
+                Err(reject(StatusCode::UNAUTHORIZED, "invalid_api_key", "unknown API key", None))
             }
         }
     }
@@ -100,11 +100,11 @@
     /// the preset refuses new work or the daemon is at its in-flight limit.
     fn admit(&self, preset: &Preset) -> Result<AdmissionGuard<P>, Response<ReplyBody>> {
         if self.is_draining() || preset.refuse_new_work {
-            return Err(not_now("maintenance", "not taking new work"));
+            return Err(unavailable("maintenance", "not taking new work"));
         }
-        let (before, guard) = self.enter();
-        if before >= preset.max_in_flight {
-            return Err(refuse(
+        let (in_flight_before, guard) = self.enter();
+        if in_flight_before >= preset.max_in_flight {
+            return Err(reject(
                 StatusCode::TOO_MANY_REQUESTS,
                 "over_capacity",
                 "daemon at its in-flight limit",
--- a/crates/router/src/front/refusal.rs
+++ b/crates/router/src/front/rejection.rs
@@ -12,7 +12,7 @@
 
 /// A refusal, logged as event [`events::REQUEST_REFUSED`]. 429 and 503
 /// promise that the request was not run.
-pub(crate) fn refuse(
+pub(crate) fn reject(
     status: StatusCode,
     kind: &str,
     message: &str,
@@ -31,13 +31,13 @@
 }
 
 /// A 503 that says to come back soon.
-pub(crate) fn not_now(kind: &str, message: &str) -> Response<ReplyBody> {
-    refuse(StatusCode::SERVICE_UNAVAILABLE, kind, message, Some(RETRY_AFTER_S))
+pub(crate) fn unavailable(kind: &str, message: &str) -> Response<ReplyBody> {
+    reject(StatusCode::SERVICE_UNAVAILABLE, kind, message, Some(RETRY_AFTER_S))
 }
 
 /// A 400 whose `message` names what is wrong.
 pub(crate) fn bad_request(message: &str) -> Response<ReplyBody> {
-    refuse(StatusCode::BAD_REQUEST, "invalid_request_error", message, None)
+    reject(StatusCode::BAD_REQUEST, "invalid_request_error", message, None)
 }
 
 /// A 404.
--- a/crates/router/src/front/service.rs
+++ b/crates/router/src/front/service.rs
@@ -10,7 +10,7 @@
 
 use super::bad_request;
 use super::not_found;
-use super::not_now;
+use super::unavailable;
 use crate::daemon::Daemon;
 use crate::pipeline::ServiceCall;
 use crate::placement::Placement;
@@ -27,7 +27,7 @@
     ) -> Result<Response<ReplyBody>, Response<ReplyBody>> {
         let organisation = self.authenticate(&request)?;
         let Some(preset) = self.shared.control.current().preset.clone() else {
-            return Err(not_now("no_preset", "no preset in force yet"));
+            return Err(unavailable("no_preset", "no preset in force yet"));
         };
         let path = request.uri().path().to_owned();
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -41,7 +41,7 @@
                     .map_err(|error| bad_request(&format!("request body: {error}")))?;
                 let _guard = self.admit(&preset)?;
                 let call = ServiceCall { organisation, service, idempotency_key, payload };
-                Ok(self.call_once(call).await)
+                Ok(self.call_at_most_once(call).await)
             }
             (&Method::GET, ["v1", "services", service, "lookup", what]) => {
                 let _guard = self.admit(&preset)?;
--- a/crates/router/src/pipeline/cancel.rs
+++ b/crates/router/src/pipeline/cancel.rs
@@ -53,7 +53,7 @@
     /// Cancels at `addr` now; true when it confirmed that it holds nothing
     /// of the request any more. If not, it stays named and is told again
     /// at the end.
-    pub async fn confirm(&mut self, addr: &str) -> bool {
+    pub async fn cancel_and_confirm(&mut self, addr: &str) -> bool {
         match cancel(addr, &self.request_id, CONFIRM_TIMEOUT).await {
             Ok(_) => {
                 self.remove(addr);
@@ -81,12 +81,12 @@
         }
         for addr in self.servers.drain(..) {
             let request_id = self.request_id.clone();
-            pool::spawn(async move { cancel_surely(&addr, &request_id).await });
+            pool::spawn(async move { cancel_with_retries(&addr, &request_id).await });
         }
     }
 }
 
-async fn cancel_surely(addr: &str, request_id: &RequestId) {
+async fn cancel_with_retries(addr: &str, request_id: &RequestId) {
     for attempt in 1..=CANCEL_ATTEMPTS {
         match cancel(addr, request_id, CANCEL_TIMEOUT).await {
             Ok(_) => return,
--- a/crates/router/src/pipeline/claim.rs
+++ b/crates/router/src/pipeline/claim.rs
@@ -8,8 +8,8 @@
 
 use super::RunFailure;
 use super::run::RequestRun;
-use crate::admission::RoomTurn;
-use crate::admission::WaitingRoom;
+use crate::admission::AdmissionQueue;
+use crate::admission::PlacementMode;
 use crate::control::ControlSnapshot;
 use crate::control::InFlightGuard;
 use crate::control::ServerPool;
@@ -17,19 +17,19 @@
 use crate::front::RETRY_AFTER_S;
 use crate::placement::Choice;
 use crate::placement::Placement;
-use crate::placement::PlacementNeed;
+use crate::placement::PlacementRequest;
 
 /// How long an attempt after the first waits for room.
-const RETRY_PATIENCE: Duration = Duration::from_secs(3);
+const MAX_RETRY_WAIT: Duration = Duration::from_secs(3);
 /// The share of a class's first-token target that a request may spend
 /// waiting and being read. The rest is for what the prediction misses, and
 /// for callers who come back after a refusal: they count from their first
 /// try. Past saturation a shorter line serves as many, but in time.
-const TARGET_SHARE: f64 = 0.5;
+const TARGET_FRACTION: f64 = 0.5;
 
 /// A server chosen for a step, its in-flight count taken.
 #[derive(Debug)]
-pub(crate) struct Claimed {
+pub(crate) struct ClaimedServer {
     pub slot: Arc<ServerSlot>,
     pub guard: InFlightGuard,
     pub choice: Choice,
@@ -38,18 +38,18 @@
 /// Both servers of a request.
 #[derive(Debug)]
 pub(crate) struct ClaimedPair {
-    pub prefill: Claimed,
-    pub decode: Claimed,
+    pub prefill: ClaimedServer,
+    pub decode: ClaimedServer,
 }
 
 /// Tells the waiting room that room came free. Declared after the guards
 /// of a struct, it drops after them.
 #[derive(Debug)]
-pub(crate) struct RoomWaker(pub Arc<WaitingRoom>);
+pub(crate) struct CapacityNotifier(pub Arc<AdmissionQueue>);
 
-impl Drop for RoomWaker {
+impl Drop for CapacityNotifier {
     fn drop(&mut self) {
-        self.0.wake_first();
+        self.0.notify_capacity();
     }
 }
 
@@ -68,37 +68,41 @@
                 self.avoid.clear();
             }
         }
-        if !self.daemon.shared.placement.waits_for_room() {
-            let placed = self.place_pair(RoomTurn::Ordinary);
-            return placed.ok_or(RunFailure::NoRoom { retry_after_s: RETRY_AFTER_S });
+        if !self.daemon.shared.placement.waits_for_capacity() {
+            let placed = self.place_pair(PlacementMode::Normal);
+            return placed.ok_or(RunFailure::NoCapacity { retry_after_s: RETRY_AFTER_S });
         }
-        self.room()
-            .enter(self.admitted.priority, self.patience(), |turn| self.place_pair(turn))
+        self.queue()
+            .acquire(self.admitted.priority, self.max_wait(), |mode| self.place_pair(mode))
             .await
-            .map_err(|refusal| RunFailure::NoRoom { retry_after_s: refusal.retry_after_s })
+            .map_err(|rejection| RunFailure::NoCapacity { retry_after_s: rejection.retry_after_s })
     }
 
     /// Both servers as placed now, or `None` when either has no room. The
     /// snapshot is read anew: servers may have come while waiting.
-    fn place_pair(&self, turn: RoomTurn) -> Option<ClaimedPair> {
+    fn place_pair(&self, mode: PlacementMode) -> Option<ClaimedPair> {
         let snapshot = self.daemon.shared.control.current();
         let decode_pool = snapshot.candidates(EngineRole::Decode, &self.admitted.model);
         // Decode first: it is the cheaper question, and when it has no
         // room the prefill policy must not remember a placement.
-        self.choose_decode(&decode_pool, None, turn)?;
-        let prefill = self.place_prefill(&snapshot, turn)?;
-        let decode = self.place_decode(&decode_pool, &prefill.slot, turn)?;
+        self.choose_decode(&decode_pool, None, mode)?;
+        let prefill = self.place_prefill(&snapshot, mode)?;
+        let decode = self.place_decode(&decode_pool, &prefill.slot, mode)?;
         Some(ClaimedPair { prefill, decode })
     }
 
-    fn place_prefill(&self, snapshot: &ControlSnapshot, turn: RoomTurn) -> Option<Claimed> {
+    fn place_prefill(
+        &self,
+        snapshot: &ControlSnapshot,
+        mode: PlacementMode,
+    ) -> Option<ClaimedServer> {
         let pool = snapshot.candidates(EngineRole::Prefill, &self.admitted.model);
         let settings = &self.daemon.shared.settings;
-        let need = self.need(&settings.domain, &settings.region, turn);
-        let choice = self.daemon.shared.placement.prefill(&pool, &need)?;
+        let request = self.placement_request(&settings.domain, &settings.region, mode);
+        let choice = self.daemon.shared.placement.prefill(&pool, &request)?;
         let slot = Arc::clone(&pool[choice.index]);
         let guard = slot.begin(u64::from(self.admitted.shape.tokens));
-        Some(Claimed { slot, guard, choice })
+        Some(ClaimedServer { slot, guard, choice })
     }
 
     /// Takes room at a decode server near `prefill`.
@@ -106,43 +110,48 @@
         &self,
         pool: &ServerPool,
         prefill: &ServerSlot,
-        turn: RoomTurn,
-    ) -> Option<Claimed> {
-        let choice = self.choose_decode(pool, Some(prefill), turn)?;
+        mode: PlacementMode,
+    ) -> Option<ClaimedServer> {
+        let choice = self.choose_decode(pool, Some(prefill), mode)?;
         let slot = Arc::clone(&pool[choice.index]);
         let guard = slot.begin(0);
-        Some(Claimed { slot, guard, choice })
+        Some(ClaimedServer { slot, guard, choice })
     }
 
     fn choose_decode(
         &self,
         pool: &ServerPool,
         prefill: Option<&ServerSlot>,
-        turn: RoomTurn,
+        mode: PlacementMode,
     ) -> Option<Choice> {
         let settings = &self.daemon.shared.settings;
         let (domain, region) = match prefill {
             Some(prefill) => (&prefill.entry.domain, &prefill.entry.region),
             None => (&settings.domain, &settings.region),
         };
-        self.daemon.shared.placement.decode(pool, &self.need(domain, region, turn))
+        self.daemon.shared.placement.decode(pool, &self.placement_request(domain, region, mode))
     }
 
-    fn need<'a>(&'a self, domain: &'a str, region: &'a str, turn: RoomTurn) -> PlacementNeed<'a> {
+    fn placement_request<'a>(
+        &'a self,
+        domain: &'a str,
+        region: &'a str,
+        mode: PlacementMode,
+    ) -> PlacementRequest<'a> {
         let preset = &self.admitted.preset;
         let leaves_reserve =
-            self.admitted.priority == Priority::Standard && turn != RoomTurn::PassedOver;
+            self.admitted.priority == Priority::Standard && mode != PlacementMode::UseReserve;
         let daemons = self.daemon.shared.members.live_count().max(1) as u64;
-        PlacementNeed {
+        PlacementRequest {
             shape: &self.admitted.shape,
             priority: self.admitted.priority,
             preset,
             domain,
             region,
             avoid: &self.avoid,
-            picky: turn == RoomTurn::Picky,
+            cached_or_idle_only: mode == PlacementMode::CachedOrIdle,
             reserve: if leaves_reserve { preset.urgent_reserve_slots } else { 0 },
-            own_queue_tokens: u64::from(preset.prefill_queue_tokens) / daemons,
+            max_local_queue_tokens: u64::from(preset.prefill_queue_tokens) / daemons,
         }
     }
 
@@ -150,20 +159,21 @@
     /// first-token target: what its prefill should take, the queue before
     /// it at the server included, is taken off. An attempt after the first
     /// waits a fixed time: the target may be missed, the answer is owed.
-    fn patience(&self) -> Duration {
+    fn max_wait(&self) -> Duration {
         if self.attempt > 0 {
-            return self.remaining().min(RETRY_PATIENCE);
+            return self.remaining().min(MAX_RETRY_WAIT);
         }
         let targets = self.admitted.preset.targets(self.admitted.priority);
         let target = Duration::from_millis(targets.ttft_ms);
-        let queue = match self.admitted.priority {
+        let queue_tokens = match self.admitted.priority {
             Priority::Urgent => 0,
             Priority::Standard => self.admitted.preset.prefill_queue_tokens,
         };
-        let work = self.daemon.shared.pace.predict(u64::from(self.admitted.shape.tokens + queue));
+        let predicted_prefill =
+            self.daemon.shared.pace.predict(u64::from(self.admitted.shape.tokens + queue_tokens));
         target
-            .mul_f64(TARGET_SHARE)
-            .saturating_sub(work)
+            .mul_f64(TARGET_FRACTION)
+            .saturating_sub(predicted_prefill)
             .saturating_sub(self.age())
             .min(self.remaining())
     }
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -17,12 +17,12 @@
 use umberglade_wire::lines::LineReader;
 
 use super::RunFailure;
-use super::claim::Claimed;
-use super::claim::RoomWaker;
-use super::prefill::KvExportClaim;
+use super::claim::CapacityNotifier;
+use super::claim::ClaimedServer;
+use super::prefill::KvExport;
 use super::run::RequestRun;
-use super::run::observe_load;
-use crate::admission::RoomTurn;
+use super::run::record_load;
+use crate::admission::PlacementMode;
 use crate::control::InFlightGuard;
 use crate::control::ServerPool;
 use crate::control::ServerSlot;
@@ -33,7 +33,7 @@
 /// Bound on a decode server's answer head: it fetches the KV cache first.
 const DECODE_START_TIMEOUT: Duration = Duration::from_secs(3);
 /// Decode servers tried at once for one export.
-const DECODE_ATTEMPTS: usize = 3;
+const MAX_DECODE_ATTEMPTS: usize = 3;
 /// An export with less time left than this is not sent to another server.
 const EXPORT_MARGIN: Duration = Duration::from_millis(50);
 /// The status by which a decode server says that it could not fetch the
@@ -47,7 +47,7 @@
     pub reader: LineReader,
     pub slot: Arc<ServerSlot>,
     _guard: InFlightGuard,
-    _waker: RoomWaker,
+    _notifier: CapacityNotifier,
 }
 
 impl<P: Placement> RequestRun<P> {
@@ -56,23 +56,24 @@
     /// and offered on for as long as its server keeps it.
     pub async fn decode(
         &mut self,
-        claimed: Claimed,
-        export: KvExportClaim,
+        claimed: ClaimedServer,
+        export: KvExport,
         resume_from: u32,
     ) -> Result<DecodeStream, RunFailure> {
         let mut claimed = claimed;
         let mut tried = 1;
         loop {
-            let failure = match self.begin_decode(claimed, &export, resume_from).await {
+            let failure = match self.start_decode(claimed, &export, resume_from).await {
                 Ok(stream) => return Ok(stream),
                 Err(failure) => failure,
             };
-            let is_full = matches!(failure, RunFailure::Refused { status: 429 | 503, .. });
-            let time_left = export.kept_until.saturating_duration_since(Instant::now());
+            let is_full = matches!(failure, RunFailure::Rejected { status: 429 | 503, .. });
+            let time_left = export.expires_at.saturating_duration_since(Instant::now());
             if !is_full || time_left < EXPORT_MARGIN {
                 return Err(failure);
             }
-            claimed = match self.next_decode(&export, tried, time_left - EXPORT_MARGIN).await {
+            claimed = match self.place_next_decode(&export, tried, time_left - EXPORT_MARGIN).await
+            {
                 Some(next) => next,
                 None => return Err(failure),
             };
@@ -82,27 +83,28 @@
 
     /// Another decode server for `export`: at once, or, when all were
     /// tried, as soon as one has room.
-    async fn next_decode(
+    async fn place_next_decode(
         &mut self,
-        export: &KvExportClaim,
+        export: &KvExport,
         tried: usize,
-        patience: Duration,
-    ) -> Option<Claimed> {
+        max_wait: Duration,
+    ) -> Option<ClaimedServer> {
         let pool = self.decode_pool();
-        if tried < DECODE_ATTEMPTS
-            && let Some(claimed) = self.place_decode(&pool, &export.slot, RoomTurn::Ordinary)
+        if tried < MAX_DECODE_ATTEMPTS
+            && let Some(claimed) = self.place_decode(&pool, &export.slot, PlacementMode::Normal)
         {
             return Some(claimed);
         }
-        if !self.daemon.shared.placement.waits_for_room() {
+        if !self.daemon.shared.placement.waits_for_capacity() {
             return None;
         }
-        self.forget_passed_over();
+        self.clear_avoided();
         smol::Timer::after(EXPORT_MARGIN).await;
         // Ahead of all whose prompt is not read yet, and into the reserve:
         // what is computed must not be thrown away for want of a slot.
-        let place = |_| self.place_decode(&self.decode_pool(), &export.slot, RoomTurn::PassedOver);
-        self.room().enter(Priority::Urgent, patience, place).await.ok()
+        let place =
+            |_| self.place_decode(&self.decode_pool(), &export.slot, PlacementMode::UseReserve);
+        self.queue().acquire(Priority::Urgent, max_wait, place).await.ok()
     }
 
     fn decode_pool(&self) -> ServerPool {
@@ -110,13 +112,13 @@
         snapshot.candidates(EngineRole::Decode, &self.admitted.model)
     }
 
-    async fn begin_decode(
+    async fn start_decode(
         &mut self,
-        claimed: Claimed,
-        export: &KvExportClaim,
+        claimed: ClaimedServer,
+        export: &KvExport,
         resume_from: u32,
     ) -> Result<DecodeStream, RunFailure> {
-        let Claimed { slot, guard, choice } = claimed;
+        let ClaimedServer { slot, guard, choice } = claimed;
         tracing::info!(
             event = events::DECODE_PLACED,
             request_id = %self.admitted.request_id,
@@ -134,30 +136,30 @@
                 slot.succeeded();
                 self.cancel.remove(&export.slot.entry.addr);
                 let reader = LineReader::new(response.into_body());
-                let waker = RoomWaker(self.room());
-                Ok(DecodeStream { reader, slot, _guard: guard, _waker: waker })
+                let notifier = CapacityNotifier(self.queue());
+                Ok(DecodeStream { reader, slot, _guard: guard, _notifier: notifier })
             }
             // The decode server is well: the export could not be had from
             // the prefill server. Blaming the former set one decode server
             // after another aside for a single stalled link.
             Err(error) if error.status() == Some(KV_FETCH_FAILED) => {
                 self.cancel.remove(&slot.entry.addr);
-                self.give_up_on(&export.slot);
+                self.record_failure(&export.slot);
                 let server = export.slot.entry.server.clone();
                 tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "KV cache not handed over");
                 let retry_after_s = RETRY_AFTER_S;
-                Err(RunFailure::Refused {
+                Err(RunFailure::Rejected {
                     step: STEP,
                     server,
                     status: KV_FETCH_FAILED,
                     retry_after_s,
                 })
             }
-            Err(error) => Err(self.step_failed(STEP, &slot, error).await),
+            Err(error) => Err(self.handle_step_error(STEP, &slot, error).await),
         }
     }
 
-    fn decode_order(&self, export: &KvExportClaim, resume_from: u32) -> DecodeOrder {
+    fn decode_order(&self, export: &KvExport, resume_from: u32) -> DecodeOrder {
         let admitted = &self.admitted;
         DecodeOrder {
             request_id: admitted.request_id.clone(),
@@ -183,7 +185,7 @@
     let client = HttpClient::new(slot.entry.addr.clone(), DECODE_START_TIMEOUT);
     let body = Bytes::from(serde_json::to_vec(order).expect("serialising an order"));
     let response = client.send(STEP, Method::POST, "/v1/decode", Some(body)).await?;
-    observe_load(slot, &response);
+    record_load(slot, &response);
     if response.status().is_success() {
         return Ok(response);
     }
--- a/crates/router/src/pipeline/event_writer.rs
+++ b/crates/router/src/pipeline/event_writer.rs
@@ -7,7 +7,7 @@
 use umberglade_wire::caller::ChatDelta;
 use umberglade_wire::caller::ChunkChoice;
 
-use super::Admitted;
+use super::AdmittedRequest;
 use crate::front::CompletionKind;
 
 /// What closes every stream that is whole.
@@ -20,45 +20,51 @@
 #[derive(Debug)]
 pub(crate) struct EventWriter {
     kind: CompletionKind,
-    empty: ChatChunk,
+    empty_chunk: ChatChunk,
     /// `data: {...` up to the delta or text.
-    head: Bytes,
+    event_prefix: Bytes,
     buffer: BytesMut,
-    first: bool,
+    is_first: bool,
 }
 
 impl EventWriter {
     /// A writer of the answer to `admitted`, created at `created` seconds
     /// of the Unix epoch.
-    pub fn new(admitted: &Admitted, created: u64) -> Self {
+    pub fn new(admitted: &AdmittedRequest, created: u64) -> Self {
         let object = match admitted.kind {
             CompletionKind::Chat => "chat.completion.chunk",
             CompletionKind::Text => "text_completion",
         };
-        let empty = ChatChunk {
+        let empty_chunk = ChatChunk {
             id: admitted.request_id.clone(),
             object: object.into(),
             created,
             model: admitted.model.clone(),
             choices: Vec::new(),
         };
-        let json = serde_json::to_string(&empty).expect("serialising a chunk");
+        let json = serde_json::to_string(&empty_chunk).expect("serialising a chunk");
         let open = json.strip_suffix("]}").expect("a chunk ends in its choices");
-        let head = Bytes::from(format!("data: {open}{{\"index\":0,"));
-        EventWriter { kind: admitted.kind, empty, head, buffer: BytesMut::new(), first: true }
+        let event_prefix = Bytes::from(format!("data: {open}{{\"index\":0,"));
+        EventWriter {
+            kind: admitted.kind,
+            empty_chunk,
+            event_prefix,
+            buffer: BytesMut::new(),
+            is_first: true,
+        }
     }
 
     /// Adds the event of one token.
     pub fn token(&mut self, text: &str) {
-        self.buffer.put_slice(&self.head);
+        self.buffer.put_slice(&self.event_prefix);
         match self.kind {
-            CompletionKind::Chat if self.first => {
+            CompletionKind::Chat if self.is_first => {
                 self.buffer.put_slice(b"\"delta\":{\"role\":\"assistant\",\"content\":");
             }
             CompletionKind::Chat => self.buffer.put_slice(b"\"delta\":{\"content\":"),
             CompletionKind::Text => self.buffer.put_slice(b"\"text\":"),
         }
-        self.first = false;
+        self.is_first = false;
         serde_json::to_writer((&mut self.buffer).writer(), text).expect("writing to memory");
         if self.kind == CompletionKind::Chat {
             self.buffer.put_slice(b"}");
@@ -69,12 +75,12 @@
     /// Adds the last event and what closes the stream.
     pub fn finish(&mut self, finish_reason: &str) {
         if self.kind == CompletionKind::Text {
-            self.buffer.put_slice(&self.head);
+            self.buffer.put_slice(&self.event_prefix);
             let reason = serde_json::json!(finish_reason);
             let tail = format!("\"text\":\"\",\"finish_reason\":{reason}}}]}}\n\n");
             self.buffer.put_slice(tail.as_bytes());
         } else {
-            let mut chunk = self.empty.clone();
+            let mut chunk = self.empty_chunk.clone();
             let delta = ChatDelta::default();
             let finish_reason = Some(finish_reason.to_owned());
             chunk.choices.push(ChunkChoice { index: 0, delta, finish_reason });
@@ -86,7 +92,7 @@
 
     /// Adds the event that says the answer is cut: no `[DONE]` follows, so
     /// it can't be taken for whole.
-    pub fn cut(&mut self, message: &str) {
+    pub fn truncated(&mut self, message: &str) {
         let error = serde_json::json!({ "error": { "message": message, "type": "answer_cut" } });
         self.buffer.put_slice(format!("data: {error}\n\n").as_bytes());
     }
--- a/crates/router/src/pipeline/mod.rs
+++ b/crates/router/src/pipeline/mod.rs
@@ -1,8 +1,6 @@
 //! One request end to end: room claimed, prefill, hand-off of the KV
 //! cache, decode, and the answer streamed or whole.
 
-mod answer;
-mod answer_feed;
 mod cancel;
 mod claim;
 mod decode;
@@ -11,6 +9,8 @@
 mod plain;
 mod prefill;
 mod relay;
+mod response_assembler;
+mod response_feed;
 mod run;
 
 use std::sync::Arc;
@@ -22,12 +22,12 @@
 use umberglade_wire::ids::RequestId;
 use umberglade_wire::reply::ReplyBody;
 
-pub use self::answer::AnswerAssembler;
-pub use self::answer::AnswerStep;
-use self::answer_feed::AnswerFeed;
 pub use self::cancel::CancelOnDrop;
 pub use self::failure::RunFailure;
 pub(crate) use self::plain::ServiceCall;
+pub use self::response_assembler::AssemblyStep;
+pub use self::response_assembler::ResponseAssembler;
+use self::response_feed::ResponseFeed;
 use self::run::RequestRun;
 use crate::daemon::AdmissionGuard;
 use crate::daemon::Daemon;
@@ -38,7 +38,7 @@
 
 /// A request that passed admission, with the preset in force for it.
 #[derive(Debug, Clone)]
-pub struct Admitted {
+pub struct AdmittedRequest {
     pub request_id: RequestId,
     pub organisation: OrganisationId,
     pub model: ModelName,
@@ -55,15 +55,19 @@
     /// whether the work ran and when to come back.
     pub(crate) async fn serve(
         &self,
-        admitted: Admitted,
+        admitted: AdmittedRequest,
         admission: AdmissionGuard<P>,
     ) -> Response<ReplyBody> {
         let is_streamed = admitted.stream;
         let run = RequestRun::new(self.clone(), admitted, admission);
-        let feed = match AnswerFeed::start(run).await {
+        let feed = match ResponseFeed::start(run).await {
             Ok(feed) => feed,
-            Err(failure) => return failure.refusal(),
+            Err(failure) => return failure.rejection(),
         };
-        if is_streamed { relay::stream_answer(feed) } else { relay::whole_answer(feed).await }
+        if is_streamed {
+            relay::stream_response(feed)
+        } else {
+            relay::complete_response(feed).await
+        }
     }
 }
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -25,12 +25,12 @@
 use crate::daemon::Daemon;
 use crate::events;
 use crate::front::RETRY_AFTER_S;
-use crate::front::not_now;
-use crate::front::refuse;
+use crate::front::reject;
+use crate::front::unavailable;
 use crate::idempotency::Claim;
 use crate::idempotency::IdempotencyLedger;
 use crate::placement::Placement;
-use crate::placement::PlacementNeed;
+use crate::placement::PlacementRequest;
 use crate::prompt::text_shape;
 
 /// Bound on one call that may run only once.
@@ -53,7 +53,7 @@
 /// What became of a call at the servers.
 enum CallOutcome {
     /// A server ran it and answered with this.
-    Answered { status: u16, body: String },
+    Responded { status: u16, body: String },
     /// No server ran it.
     NotRun { message: String, retry_after_s: u64 },
     /// A server may have run it.
@@ -62,9 +62,9 @@
 
 impl<P: Placement> Daemon<P> {
     /// Runs `call` at most once, whatever retries and races come.
-    pub(crate) async fn call_once(&self, call: ServiceCall) -> Response<ReplyBody> {
-        if self.plain_slot(&call.service, &[]).is_none() {
-            return no_server(&call.service);
+    pub(crate) async fn call_at_most_once(&self, call: ServiceCall) -> Response<ReplyBody> {
+        if self.choose_plain_server(&call.service, &[]).is_none() {
+            return no_server_response(&call.service);
         }
         let record_key = IdempotencyLedger::record_key(&call.organisation, &call.idempotency_key);
         let version = match self.shared.ledger.claim(&record_key).await {
@@ -72,16 +72,16 @@
             Ok(Claim::Replay { status, body }) => return replay(&record_key, status, body),
             Ok(Claim::InProgress) => {
                 let message = "an earlier call with this Idempotency-Key has not finished or its outcome is not known; ask again later with the same key";
-                return refuse(StatusCode::CONFLICT, "in_progress", message, Some(RETRY_AFTER_S));
+                return reject(StatusCode::CONFLICT, "in_progress", message, Some(RETRY_AFTER_S));
             }
             Err(error) => {
                 tracing::warn!(event = events::STEP_FAILED, %record_key, %error, "idempotency claim failed");
                 let message = "the idempotency record could not be written; the call was not run";
-                return not_now("platform_unavailable", message);
+                return unavailable("platform_unavailable", message);
             }
         };
         let outcome = self.send_call(call, &record_key).await;
-        self.conclude_call(&record_key, version, outcome).await
+        self.finish_call(&record_key, version, outcome).await
     }
 
     /// Sends the call to a server; to another only when the one before
@@ -91,8 +91,8 @@
         let body = PlainCall { organisation, idempotency_key, payload };
         let mut tried: Vec<ServerId> = Vec::new();
         let mut retry_after_s = RETRY_AFTER_S;
-        self.shared.budget.earn();
-        while let Some(slot) = self.plain_slot(&service, &tried) {
+        self.shared.budget.deposit();
+        while let Some(slot) = self.choose_plain_server(&service, &tried) {
             tracing::info!(event = events::PLAIN_PLACED, service, server = %slot.entry.server, record_key, "plain call placed");
             let _guard = slot.begin(0);
             let client = HttpClient::new(slot.entry.addr.clone(), CALL_TIMEOUT);
@@ -102,18 +102,18 @@
             match sent {
                 Ok(value) => {
                     slot.succeeded();
-                    return CallOutcome::Answered { status: 200, body: value.to_string() };
+                    return CallOutcome::Responded { status: 200, body: value.to_string() };
                 }
                 Err(WireError::Status { status, body, .. })
                     if !NOT_RUN_STATUSES.contains(&status) =>
                 {
-                    return CallOutcome::Answered { status, body };
+                    return CallOutcome::Responded { status, body };
                 }
                 Err(error) => {
                     tracing::warn!(event = events::STEP_FAILED, record_key, %error, "plain call failed");
                     slot.failed();
-                    let is_refused = error.status().is_some();
-                    if !is_refused && !error.is_unsent() {
+                    let is_rejected = error.status().is_some();
+                    if !is_rejected && !error.is_unsent() {
                         return CallOutcome::Unknown { message: error.to_string() };
                     }
                     if let WireError::Status { retry_after_s: Some(seconds), .. } = error {
@@ -122,7 +122,7 @@
                 }
             }
             tried.push(slot.entry.server.clone());
-            if tried.len() >= MAX_ATTEMPTS || !self.shared.budget.spend() {
+            if tried.len() >= MAX_ATTEMPTS || !self.shared.budget.try_consume() {
                 break;
             }
         }
@@ -130,7 +130,7 @@
         CallOutcome::NotRun { message, retry_after_s }
     }
 
-    async fn conclude_call(
+    async fn finish_call(
         &self,
         record_key: &str,
         version: u64,
@@ -141,21 +141,21 @@
             // Any answer that does not promise otherwise may have run the
             // action (a 500 halfway through): it is recorded and given
             // again to a retry.
-            CallOutcome::Answered { status, body } => {
+            CallOutcome::Responded { status, body } => {
                 let record = IdempotencyRecord::Done { status, body: body.clone() };
                 ledger.finish(record_key, version, &record).await;
-                answered(status, body)
+                json_response(status, body)
             }
             CallOutcome::NotRun { message, retry_after_s } => {
                 let record = IdempotencyRecord::NotRun { status: 503, body: message.clone() };
                 ledger.finish(record_key, version, &record).await;
-                refuse(StatusCode::SERVICE_UNAVAILABLE, "not_run", &message, Some(retry_after_s))
+                reject(StatusCode::SERVICE_UNAVAILABLE, "not_run", &message, Some(retry_after_s))
             }
             CallOutcome::Unknown { message } => {
                 let message = format!(
                     "{message}; the call may have run: do not repeat it under a new key, ask again with the same key"
                 );
-                refuse(
+                reject(
                     StatusCode::GATEWAY_TIMEOUT,
                     "outcome_unknown",
                     &message,
@@ -170,8 +170,8 @@
     pub(crate) async fn lookup(&self, service: &str, what: &str) -> Response<ReplyBody> {
         let path = format!("/v1/lookup/{what}");
         let mut tried: Vec<ServerId> = Vec::new();
-        self.shared.budget.earn();
-        while let Some(slot) = self.plain_slot(service, &tried) {
+        self.shared.budget.deposit();
+        while let Some(slot) = self.choose_plain_server(service, &tried) {
             tracing::info!(event = events::PLAIN_PLACED, service, server = %slot.entry.server, "lookup placed");
             let _guard = slot.begin(0);
             match send_lookup(&slot, &path).await {
@@ -185,34 +185,34 @@
                 }
             }
             tried.push(slot.entry.server.clone());
-            if tried.len() >= MAX_ATTEMPTS || !self.shared.budget.spend() {
+            if tried.len() >= MAX_ATTEMPTS || !self.shared.budget.try_consume() {
                 break;
             }
         }
         if tried.is_empty() {
-            return no_server(service);
+            return no_server_response(service);
         }
         let message = format!("no server of `{service}` answered the lookup");
-        refuse(StatusCode::BAD_GATEWAY, "lookup_failed", &message, Some(RETRY_AFTER_S))
+        reject(StatusCode::BAD_GATEWAY, "lookup_failed", &message, Some(RETRY_AFTER_S))
     }
 
-    fn plain_slot(&self, service: &str, avoid: &[ServerId]) -> Option<Arc<ServerSlot>> {
+    fn choose_plain_server(&self, service: &str, avoid: &[ServerId]) -> Option<Arc<ServerSlot>> {
         let snapshot = self.shared.control.current();
         let preset = snapshot.preset.as_ref()?;
         let pool = snapshot.candidates(EngineRole::Plain, service);
         let shape = text_shape("");
-        let need = PlacementNeed {
+        let request = PlacementRequest {
             shape: &shape,
             priority: Priority::Urgent,
             preset,
             domain: &self.shared.settings.domain,
             region: &self.shared.settings.region,
             avoid,
-            picky: false,
+            cached_or_idle_only: false,
             reserve: 0,
-            own_queue_tokens: 0,
+            max_local_queue_tokens: 0,
         };
-        let choice = self.shared.placement.decode(&pool, &need)?;
+        let choice = self.shared.placement.decode(&pool, &request)?;
         Some(Arc::clone(&pool[choice.index]))
     }
 }
@@ -223,19 +223,19 @@
     client.read_whole("lookup", response).await
 }
 
-fn no_server(service: &str) -> Response<ReplyBody> {
+fn no_server_response(service: &str) -> Response<ReplyBody> {
     let message = format!("no server of `{service}` takes calls now; the call was not run");
-    not_now("no_server", &message)
+    unavailable("no_server", &message)
 }
 
-fn answered(status: u16, body: String) -> Response<ReplyBody> {
+fn json_response(status: u16, body: String) -> Response<ReplyBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
     reply::whole(status, "application/json", Bytes::from(body))
 }
 
 fn replay(record_key: &str, status: u16, body: String) -> Response<ReplyBody> {
     tracing::info!(event = events::PLAIN_REPLAYED, record_key, "recorded answer given to a retry");
-    let mut response = answered(status, body);
+    let mut response = json_response(status, body);
     response.headers_mut().insert("idempotent-replay", HeaderValue::from_static("true"));
     response
 }
--- a/crates/router/src/pipeline/prefill.rs
+++ b/crates/router/src/pipeline/prefill.rs
@@ -13,9 +13,9 @@
 use umberglade_wire::error::DecodeSnafu;
 
 use super::RunFailure;
-use super::claim::Claimed;
+use super::claim::ClaimedServer;
 use super::run::RequestRun;
-use super::run::observe_load;
+use super::run::record_load;
 use crate::control::ServerSlot;
 use crate::events;
 use crate::front::RETRY_AFTER_S;
@@ -32,10 +32,10 @@
 
 /// A finished prefill: whose it is and until when it is kept.
 #[derive(Debug)]
-pub(crate) struct KvExportClaim {
+pub(crate) struct KvExport {
     pub reply: PrefillReply,
     pub slot: std::sync::Arc<ServerSlot>,
-    pub kept_until: Instant,
+    pub expires_at: Instant,
 }
 
 impl<P: Placement> RequestRun<P> {
@@ -43,10 +43,10 @@
     /// read on the claimed server.
     pub async fn prefill(
         &mut self,
-        claimed: Claimed,
+        claimed: ClaimedServer,
         resume_from: u32,
-    ) -> Result<KvExportClaim, RunFailure> {
-        let Claimed { slot, guard, choice } = claimed;
+    ) -> Result<KvExport, RunFailure> {
+        let ClaimedServer { slot, guard, choice } = claimed;
         tracing::info!(
             event = events::PREFILL_PLACED,
             request_id = %self.admitted.request_id,
@@ -61,20 +61,20 @@
         let predicted = self.daemon.shared.pace.predict(queued);
         let timeout = (predicted * PREDICTION_FACTOR + PREFILL_SLACK).min(self.remaining());
         self.cancel.add(&slot.entry.addr);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let sent = send_prefill(&slot, &order, timeout).await;
         drop(guard);
-        self.room().wake_first();
+        self.queue().notify_capacity();
         match sent {
             Ok(reply) => {
-                let elapsed = begun.elapsed();
+                let elapsed = started_at.elapsed();
                 self.daemon.shared.pace.observe(queued, elapsed);
                 metrics::histogram!("umberglade_prefill_seconds").record(elapsed.as_secs_f64());
                 slot.succeeded();
-                let keep = Duration::from_millis(self.admitted.preset.prefill_keep_ms);
-                Ok(KvExportClaim { reply, slot, kept_until: Instant::now() + keep })
+                let retention = Duration::from_millis(self.admitted.preset.prefill_keep_ms);
+                Ok(KvExport { reply, slot, expires_at: Instant::now() + retention })
             }
-            Err(error) => Err(self.step_failed(STEP, &slot, error).await),
+            Err(error) => Err(self.handle_step_error(STEP, &slot, error).await),
         }
     }
 
@@ -103,7 +103,7 @@
     /// The failure that `error` of `step` on `slot` means. A server that
     /// refused holds nothing; one that never answered is told to stop
     /// before anything else is tried.
-    pub async fn step_failed(
+    pub async fn handle_step_error(
         &mut self,
         step: &'static str,
         slot: &ServerSlot,
@@ -119,15 +119,15 @@
                 return RunFailure::FencedOff { fence };
             }
             match status {
-                429 | 503 => self.pass_over(slot),
-                _ => self.give_up_on(slot),
+                429 | 503 => self.avoid_server(slot),
+                _ => self.record_failure(slot),
             }
             let retry_after_s = retry_after_s.unwrap_or(RETRY_AFTER_S);
-            return RunFailure::Refused { step, server, status, retry_after_s };
+            return RunFailure::Rejected { step, server, status, retry_after_s };
         }
-        self.give_up_on(slot);
-        let stopped = error.is_unsent() || self.cancel.confirm(&slot.entry.addr).await;
-        RunFailure::Unanswered { step, server, stopped }
+        self.record_failure(slot);
+        let stopped = error.is_unsent() || self.cancel.cancel_and_confirm(&slot.entry.addr).await;
+        RunFailure::NoResponse { step, server, stopped }
     }
 }
 
@@ -139,7 +139,7 @@
     let client = HttpClient::new(slot.entry.addr.clone(), timeout);
     let body = Bytes::from(serde_json::to_vec(order).expect("serialising an order"));
     let response = client.send(STEP, Method::POST, "/v1/prefill", Some(body)).await?;
-    observe_load(slot, &response);
+    record_load(slot, &response);
     let bytes = client.read_whole(STEP, response).await?;
     serde_json::from_slice(&bytes).context(DecodeSnafu { step: STEP, peer: client.peer.as_str() })
 }
--- a/crates/router/src/pipeline/relay.rs
+++ b/crates/router/src/pipeline/relay.rs
@@ -15,29 +15,29 @@
 use umberglade_wire::reply::ChunkSender;
 use umberglade_wire::reply::ReplyBody;
 
-use super::Admitted;
-use super::answer_feed::AnswerFeed;
-use super::answer_feed::FeedStep;
+use super::AdmittedRequest;
 use super::event_writer::EventWriter;
+use super::response_feed::FeedStep;
+use super::response_feed::ResponseFeed;
 use crate::events;
 use crate::front::CompletionKind;
 use crate::front::RETRY_AFTER_S;
-use crate::front::refuse;
+use crate::front::reject;
 use crate::placement::Placement;
 
 /// Answers with a server-sent-event stream fed by a task on the pool.
-pub(crate) fn stream_answer<P: Placement>(feed: AnswerFeed<P>) -> Response<ReplyBody> {
+pub(crate) fn stream_response<P: Placement>(feed: ResponseFeed<P>) -> Response<ReplyBody> {
     let (sender, response) = reply::stream(StatusCode::OK, "text/event-stream");
     pool::spawn(async move {
         let request_id = feed.admitted().request_id.clone();
         // Guards against engine memory held for a caller who hangs up
         // while no token is due (a stalled server, a wait for room): no
         // write fails then, but the body's receiver is gone.
-        let hung_up = async {
+        let disconnected = async {
             sender.closed().await;
             false
         };
-        if !relay_events(feed, &sender).or(hung_up).await {
+        if !relay_events(feed, &sender).or(disconnected).await {
             tracing::info!(event = events::CALLER_GONE, %request_id, "caller gone; cancelling");
         }
     });
@@ -45,21 +45,21 @@
 }
 
 /// Relays until the answer ends; false when the caller is gone.
-async fn relay_events<P: Placement>(mut feed: AnswerFeed<P>, sender: &ChunkSender) -> bool {
+async fn relay_events<P: Placement>(mut feed: ResponseFeed<P>, sender: &ChunkSender) -> bool {
     let mut writer = EventWriter::new(feed.admitted(), unix_seconds());
-    let mut first = true;
+    let mut is_first = true;
     loop {
         match feed.next().await {
             FeedStep::Token(text) => {
                 writer.token(&text);
                 // One write for all that has arrived: writes and wake-ups
                 // grow with the pace of reads, not with tokens.
-                while let Some(text) = feed.next_arrived() {
+                while let Some(text) = feed.next_buffered() {
                     writer.token(&text);
                 }
-                if first {
-                    feed.first_token_sent();
-                    first = false;
+                if is_first {
+                    feed.record_first_token();
+                    is_first = false;
                 }
                 if !reply::send_chunk(sender, writer.take()).await {
                     return false;
@@ -69,12 +69,12 @@
                 writer.finish(&finish_reason);
                 let is_sent = reply::send_chunk(sender, writer.take()).await;
                 if is_sent {
-                    feed.delivered(tokens);
+                    feed.mark_completed(tokens);
                 }
                 return is_sent;
             }
-            FeedStep::Cut(message) => {
-                writer.cut(&message);
+            FeedStep::Truncated(message) => {
+                writer.truncated(&message);
                 return reply::send_chunk(sender, writer.take()).await;
             }
         }
@@ -82,17 +82,19 @@
 }
 
 /// Gathers the whole answer, then answers once.
-pub(crate) async fn whole_answer<P: Placement>(mut feed: AnswerFeed<P>) -> Response<ReplyBody> {
+pub(crate) async fn complete_response<P: Placement>(
+    mut feed: ResponseFeed<P>,
+) -> Response<ReplyBody> {
     let mut text = String::new();
     loop {
         match feed.next().await {
             FeedStep::Token(token) => text.push_str(&token),
             FeedStep::Done { tokens, finish_reason } => {
-                feed.delivered(tokens);
-                return whole_reply(feed.admitted(), text, tokens, finish_reason);
+                feed.mark_completed(tokens);
+                return completion_reply(feed.admitted(), text, tokens, finish_reason);
             }
-            FeedStep::Cut(message) => {
-                return refuse(
+            FeedStep::Truncated(message) => {
+                return reject(
                     StatusCode::BAD_GATEWAY,
                     "answer_cut",
                     &message,
@@ -103,8 +105,8 @@
     }
 }
 
-fn whole_reply(
-    admitted: &Admitted,
+fn completion_reply(
+    admitted: &AdmittedRequest,
     text: String,
     tokens: u32,
     finish_reason: String,
--- a/crates/router/src/pipeline/answer.rs
+++ b/crates/router/src/pipeline/response_assembler.rs
@@ -6,7 +6,7 @@
 
 /// What one line of a stream means for the answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AnswerStep {
+pub enum AssemblyStep {
     /// The next token, to be passed on.
     Token(String),
     /// The answer is whole.
@@ -23,17 +23,17 @@
 /// this request's id and the very next index is passed on, and the answer
 /// is whole only when its last line counts as many tokens as were.
 #[derive(Debug, Clone)]
-pub struct AnswerAssembler {
+pub struct ResponseAssembler {
     request_id: RequestId,
     /// Index of the next token. Invariant: every token below it was passed
     /// on exactly once.
     next_index: u32,
 }
 
-impl AnswerAssembler {
+impl ResponseAssembler {
     /// An empty answer of `request_id`.
     pub fn new(request_id: RequestId) -> Self {
-        AnswerAssembler { request_id, next_index: 0 }
+        ResponseAssembler { request_id, next_index: 0 }
     }
 
     /// Index of the token to come next; where another stream must resume.
@@ -42,7 +42,7 @@
     }
 
     /// Takes one event of a stream.
-    pub fn accept(&mut self, event: DecodeEvent) -> AnswerStep {
+    pub fn accept(&mut self, event: DecodeEvent) -> AssemblyStep {
         match event {
             DecodeEvent::Token { request_id, index, text } if request_id == self.request_id => {
                 self.accept_token(index, text)
@@ -51,28 +51,28 @@
                 if request_id == self.request_id =>
             {
                 if tokens == self.next_index {
-                    AnswerStep::Done { tokens, finish_reason }
+                    AssemblyStep::Done { tokens, finish_reason }
                 } else {
                     let got = self.next_index;
-                    AnswerStep::Broken(format!("the stream ended at token {got} of {tokens}"))
+                    AssemblyStep::Broken(format!("the stream ended at token {got} of {tokens}"))
                 }
             }
             DecodeEvent::Failed { request_id, message } if request_id == self.request_id => {
-                AnswerStep::Broken(message)
+                AssemblyStep::Broken(message)
             }
-            _ => AnswerStep::Ignored,
+            _ => AssemblyStep::Ignored,
         }
     }
 
-    fn accept_token(&mut self, index: u32, text: String) -> AnswerStep {
+    fn accept_token(&mut self, index: u32, text: String) -> AssemblyStep {
         if index < self.next_index {
-            return AnswerStep::Ignored;
+            return AssemblyStep::Ignored;
         }
         if index > self.next_index {
             let expected = self.next_index;
-            return AnswerStep::Broken(format!("token {index} came, {expected} was due"));
+            return AssemblyStep::Broken(format!("token {index} came, {expected} was due"));
         }
         self.next_index += 1;
-        AnswerStep::Token(text)
+        AssemblyStep::Token(text)
     }
 }
--- a/crates/router/src/pipeline/answer_feed.rs
+++ b/crates/router/src/pipeline/response_feed.rs
@@ -10,9 +10,9 @@
 use umberglade_wire::engine::DecodeEvent;
 use umberglade_wire::engine::Priority;
 
-use super::Admitted;
-use super::AnswerAssembler;
-use super::AnswerStep;
+use super::AdmittedRequest;
+use super::AssemblyStep;
+use super::ResponseAssembler;
 use super::RunFailure;
 use super::decode::DecodeStream;
 use super::run::RequestRun;
@@ -28,7 +28,7 @@
 const URGENT_STALL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How often the silence is looked at. One timer serves a whole answer: a
 /// timer for each line costs more than reading the line.
-const STALL_LOOK: Duration = Duration::from_millis(250);
+const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What the answer brings next.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,29 +39,29 @@
         finish_reason: String,
     },
     /// The answer can't be completed.
-    Cut(String),
+    Truncated(String),
 }
 
 /// One answer in the making. Dropping it cancels what servers still hold.
-pub(crate) struct AnswerFeed<P> {
+pub(crate) struct ResponseFeed<P> {
     run: RequestRun<P>,
     stream: DecodeStream,
-    assembler: AnswerAssembler,
-    stall_clock: Timer,
+    assembler: ResponseAssembler,
+    stall_timer: Timer,
     last_line: Instant,
 }
 
-impl<P: Placement> AnswerFeed<P> {
+impl<P: Placement> ResponseFeed<P> {
     /// Starts the answer of `run`; its first decode stream has begun.
     pub async fn start(mut run: RequestRun<P>) -> Result<Self, RunFailure> {
         let stream = run.start(0).await?;
-        let assembler = AnswerAssembler::new(run.admitted.request_id.clone());
-        let stall_clock = Timer::interval(STALL_LOOK);
-        Ok(AnswerFeed { run, stream, assembler, stall_clock, last_line: Instant::now() })
+        let assembler = ResponseAssembler::new(run.admitted.request_id.clone());
+        let stall_timer = Timer::interval(STALL_CHECK_INTERVAL);
+        Ok(ResponseFeed { run, stream, assembler, stall_timer, last_line: Instant::now() })
     }
 
     /// The request this answers.
-    pub fn admitted(&self) -> &Admitted {
+    pub fn admitted(&self) -> &AdmittedRequest {
         &self.run.admitted
     }
 
@@ -72,30 +72,30 @@
         loop {
             let step = match self.next_line().await {
                 Ok(line) => self.accept(&line),
-                Err(message) => AnswerStep::Broken(message),
+                Err(message) => AssemblyStep::Broken(message),
             };
-            let message = match self.conclude(step) {
+            let message = match self.to_feed_step(step) {
                 Ok(Some(step)) => return step,
                 Ok(None) => continue,
                 Err(message) => message,
             };
             if let Err(message) = self.resume(message).await {
                 tracing::warn!(event = events::REQUEST_ABANDONED, request_id = %self.run.admitted.request_id, %message, "answer cut");
-                return FeedStep::Cut(message);
+                return FeedStep::Truncated(message);
             }
         }
     }
 
     /// The next token if its line has arrived already.
-    pub fn next_arrived(&mut self) -> Option<String> {
+    pub fn next_buffered(&mut self) -> Option<String> {
         let line = self.stream.reader.buffered_line()?;
-        let before = self.assembler.clone();
+        let saved = self.assembler.clone();
         match self.accept(&line) {
-            AnswerStep::Token(text) => Some(text),
-            AnswerStep::Ignored => None,
+            AssemblyStep::Token(text) => Some(text),
+            AssemblyStep::Ignored => None,
             _ => {
                 // Not a token: leave it for `next` to judge.
-                self.assembler = before;
+                self.assembler = saved;
                 self.stream.reader.put_back(line);
                 None
             }
@@ -103,7 +103,7 @@
     }
 
     /// The answer is whole and delivered: nothing is to be cancelled.
-    pub fn delivered(&mut self, tokens: u32) {
+    pub fn mark_completed(&mut self, tokens: u32) {
         self.run.cancel.disarm();
         let admitted = &self.run.admitted;
         tracing::info!(
@@ -120,7 +120,7 @@
     }
 
     /// Notes that the first token reached the caller.
-    pub fn first_token_sent(&self) {
+    pub fn record_first_token(&self) {
         let priority = self.run.admitted.priority.to_string();
         metrics::histogram!("umberglade_ttft_seconds", "priority" => priority)
             .record(self.run.age().as_secs_f64());
@@ -128,7 +128,7 @@
 
     async fn next_line(&mut self) -> Result<Bytes, String> {
         let server = &self.stream.slot.entry.server;
-        let clock = &mut self.stall_clock;
+        let timer = &mut self.stall_timer;
         let last_line = self.last_line;
         let limit = match self.run.admitted.priority {
             Priority::Urgent => URGENT_STALL_TIMEOUT,
@@ -136,7 +136,7 @@
         };
         let stalled = async {
             while last_line.elapsed() < limit {
-                clock.next().await;
+                timer.next().await;
             }
             Ok(None)
         };
@@ -149,23 +149,23 @@
         }
     }
 
-    fn accept(&mut self, line: &[u8]) -> AnswerStep {
+    fn accept(&mut self, line: &[u8]) -> AssemblyStep {
         match serde_json::from_slice::<DecodeEvent>(line) {
             Ok(event) => self.assembler.accept(event),
-            Err(error) => AnswerStep::Broken(format!("bad line: {error}")),
+            Err(error) => AssemblyStep::Broken(format!("bad line: {error}")),
         }
     }
 
     /// The step to give out, `None` to read on, or why the stream is of no
     /// more use.
-    fn conclude(&self, step: AnswerStep) -> Result<Option<FeedStep>, String> {
+    fn to_feed_step(&self, step: AssemblyStep) -> Result<Option<FeedStep>, String> {
         match step {
-            AnswerStep::Token(text) => Ok(Some(FeedStep::Token(text))),
-            AnswerStep::Done { tokens, finish_reason } => {
+            AssemblyStep::Token(text) => Ok(Some(FeedStep::Token(text))),
+            AssemblyStep::Done { tokens, finish_reason } => {
                 Ok(Some(FeedStep::Done { tokens, finish_reason }))
             }
-            AnswerStep::Ignored => Ok(None),
-            AnswerStep::Broken(message) => Err(message),
+            AssemblyStep::Ignored => Ok(None),
+            AssemblyStep::Broken(message) => Err(message),
         }
     }
 
@@ -173,9 +173,9 @@
     /// so that no two servers work on one request.
     async fn resume(&mut self, message: String) -> Result<(), String> {
         let slot = std::sync::Arc::clone(&self.stream.slot);
-        self.run.give_up_on(&slot);
-        self.run.cancel.confirm(&slot.entry.addr).await;
-        if !self.run.may_try_again() {
+        self.run.record_failure(&slot);
+        self.run.cancel.cancel_and_confirm(&slot.entry.addr).await;
+        if !self.run.try_next_attempt() {
             return Err(message);
         }
         let resume_from = self.assembler.next_index();
--- a/crates/router/src/pipeline/run.rs
+++ b/crates/router/src/pipeline/run.rs
@@ -9,11 +9,11 @@
 use umberglade_wire::engine::LOAD_HEADER;
 use umberglade_wire::ids::ServerId;
 
-use super::Admitted;
+use super::AdmittedRequest;
 use super::CancelOnDrop;
 use super::RunFailure;
 use super::decode::DecodeStream;
-use crate::admission::WaitingRoom;
+use crate::admission::AdmissionQueue;
 use crate::control::ServerSlot;
 use crate::daemon::AdmissionGuard;
 use crate::daemon::Daemon;
@@ -26,7 +26,7 @@
 /// A request being worked on. Dropping it cancels what servers still hold.
 pub(crate) struct RequestRun<P> {
     pub daemon: Daemon<P>,
-    pub admitted: Admitted,
+    pub admitted: AdmittedRequest,
     pub cancel: CancelOnDrop,
     pub attempt: u32,
     deadline: Instant,
@@ -38,8 +38,8 @@
 
 impl<P: Placement> RequestRun<P> {
     /// A run of `admitted`, nothing sent yet.
-    pub fn new(daemon: Daemon<P>, admitted: Admitted, admission: AdmissionGuard<P>) -> Self {
-        daemon.shared.budget.earn();
+    pub fn new(daemon: Daemon<P>, admitted: AdmittedRequest, admission: AdmissionGuard<P>) -> Self {
+        daemon.shared.budget.deposit();
         let started = Instant::now();
         RequestRun {
             cancel: CancelOnDrop::new(admitted.request_id.clone()),
@@ -57,11 +57,11 @@
     /// elsewhere as the budget allows.
     pub async fn start(&mut self, resume_from: u32) -> Result<DecodeStream, RunFailure> {
         loop {
-            let failure = match self.try_once(resume_from).await {
+            let failure = match self.run_attempt(resume_from).await {
                 Ok(stream) => return Ok(stream),
                 Err(failure) => failure,
             };
-            if !failure.may_retry() || !self.may_try_again() {
+            if !failure.may_retry() || !self.try_next_attempt() {
                 return Err(failure);
             }
             tracing::info!(event = events::ATTEMPT_RETRIED, request_id = %self.admitted.request_id, attempt = self.attempt, %failure, "trying again elsewhere");
@@ -70,20 +70,20 @@
     }
 
     /// Counts one more attempt, if attempts, time and budget allow it.
-    pub fn may_try_again(&mut self) -> bool {
+    pub fn try_next_attempt(&mut self) -> bool {
         let allowed = self.attempt + 1 < MAX_ATTEMPTS
             && Instant::now() < self.deadline
-            && self.daemon.shared.budget.spend();
+            && self.daemon.shared.budget.try_consume();
         if allowed {
             self.attempt += 1;
         }
         allowed
     }
 
-    async fn try_once(&mut self, resume_from: u32) -> Result<DecodeStream, RunFailure> {
+    async fn run_attempt(&mut self, resume_from: u32) -> Result<DecodeStream, RunFailure> {
         if Instant::now() >= self.deadline {
             let deadline_ms = self.admitted.preset.deadline_ms;
-            return Err(RunFailure::DeadlinePassed { deadline_ms });
+            return Err(RunFailure::DeadlineExceeded { deadline_ms });
         }
         let pair = self.claim_pair().await?;
         let export = self.prefill(pair.prefill, resume_from).await?;
@@ -96,7 +96,7 @@
     }
 
     /// The room this request waits in.
-    pub fn room(&self) -> Arc<WaitingRoom> {
+    pub fn queue(&self) -> Arc<AdmissionQueue> {
         self.daemon.room(&self.admitted.model)
     }
 
@@ -107,24 +107,24 @@
 
     /// Tries no more of `slot` for this request, and none of anyone's for
     /// a while.
-    pub fn give_up_on(&mut self, slot: &ServerSlot) {
+    pub fn record_failure(&mut self, slot: &ServerSlot) {
         slot.failed();
         self.avoid.push(slot.entry.server.clone());
     }
 
     /// Tries `slot` no more for this request: it is full, not ill.
-    pub fn pass_over(&mut self, slot: &ServerSlot) {
+    pub fn avoid_server(&mut self, slot: &ServerSlot) {
         self.avoid.push(slot.entry.server.clone());
     }
 
     /// Forgets which servers were full: they may have room again.
-    pub fn forget_passed_over(&mut self) {
+    pub fn clear_avoided(&mut self) {
         self.avoid.clear();
     }
 }
 
 /// Takes in the load report that rides on an engine's answer.
-pub(crate) fn observe_load<B>(slot: &ServerSlot, response: &http::Response<B>) {
+pub(crate) fn record_load<B>(slot: &ServerSlot, response: &http::Response<B>) {
     let sample = response
         .headers()
         .get(LOAD_HEADER)
--- a/crates/router/src/placement/affinity.rs
+++ b/crates/router/src/placement/affinity.rs
@@ -9,21 +9,21 @@
 
 use super::Choice;
 use super::Placement;
-use super::PlacementNeed;
-use super::PrefixMemory;
-use super::best_of;
+use super::PlacementRequest;
+use super::PrefixIndex;
+use super::select_best;
 use crate::control::ServerLoad;
 use crate::control::ServerSlot;
 
 /// The share of a prefix assumed missing on the servers its hash ranks
 /// first and second when this daemon has not used it there lately: other
 /// daemons rank alike and may have.
-const RANKED_MISSING: [f64; 2] = [0.2, 0.5];
+const RANKED_MISSING_FRACTION: [f64; 2] = [0.2, 0.5];
 /// The most of a prefix that may be missing where a picky request goes.
-const PICKY_MISSING: f64 = 0.2;
+const MAX_MISSING_FRACTION: f64 = 0.2;
 /// A prefill server with less than this share of the queue bound waiting
 /// counts as idle.
-const IDLE_SHARE: f64 = 0.125;
+const IDLE_QUEUE_FRACTION: f64 = 0.125;
 /// What leaving the failure domain costs, as a share of the prompt.
 const OTHER_DOMAIN_COST: f64 = 0.05;
 /// What leaving the region costs: it is chosen only when nothing else is.
@@ -38,66 +38,77 @@
 /// bound, so that what must wait waits at the daemon, urgent work first.
 #[derive(Debug, Default)]
 pub struct AffinityPlacement {
-    memory: PrefixMemory,
+    prefix_index: PrefixIndex,
 }
 
 impl Placement for AffinityPlacement {
-    fn prefill(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        let keep = Duration::from_millis(need.preset.prefix_keep_ms);
-        let holders = self.memory.holders(need.shape.prefix_hash, keep);
-        let ranked = ranked_candidates(candidates, need);
-        let scored = usable(candidates, need)
-            .filter_map(|(at, slot)| {
+    fn prefill(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        let retention = Duration::from_millis(request.preset.prefix_keep_ms);
+        let holders = self.prefix_index.holders(request.shape.prefix_hash, retention);
+        let ranked = ranked_candidates(candidates, request);
+        let scored = eligible_candidates(candidates, request)
+            .filter_map(|(index, slot)| {
                 let load = slot.load();
-                if !has_prefill_room(slot, &load, need) {
+                if !has_prefill_capacity(slot, &load, request) {
                     return None;
                 }
-                let missing = if holders.contains(&slot.entry.server) {
+                let missing_fraction = if holders.contains(&slot.entry.server) {
                     0.0
                 } else {
-                    let rank = ranked.iter().position(|candidate| *candidate == at);
-                    rank.map_or(1.0, |rank| RANKED_MISSING[rank])
+                    let rank = ranked.iter().position(|candidate| *candidate == index);
+                    rank.map_or(1.0, |rank| RANKED_MISSING_FRACTION[rank])
                 };
-                if need.picky && missing > PICKY_MISSING && !is_idle(&load, need) {
+                if request.cached_or_idle_only
+                    && missing_fraction > MAX_MISSING_FRACTION
+                    && !is_idle(&load, request)
+                {
                     return None;
                 }
-                Some((at, -prefill_cost(slot, &load, need, missing)))
+                Some((index, -prefill_cost(slot, &load, request, missing_fraction)))
             })
             .collect();
-        let choice = best_of(candidates, scored)?;
-        if need.shape.prefix_hash != 0 {
+        let choice = select_best(candidates, scored)?;
+        if request.shape.prefix_hash != 0 {
             let server = &candidates[choice.index].entry.server;
-            self.memory.note(need.shape.prefix_hash, server, keep);
+            self.prefix_index.record(request.shape.prefix_hash, server, retention);
         }
         Some(choice)
     }
 
-    fn decode(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        let scored = usable(candidates, need)
-            .filter_map(|(at, slot)| {
+    fn decode(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        let scored = eligible_candidates(candidates, request)
+            .filter_map(|(index, slot)| {
                 let load = slot.load();
-                let room = free_slots(&load, need);
-                (room > 0).then(|| {
-                    let used = f64::from(load.running) / f64::from(slots_of(&load));
-                    let jitter = fastrand::f64() / (2.0 * f64::from(slots_of(&load)));
-                    (at, -(used + distance(slot, need) + jitter))
+                let free = free_slots(&load, request);
+                (free > 0).then(|| {
+                    let used = f64::from(load.running) / f64::from(slot_count(&load));
+                    let jitter = fastrand::f64() / (2.0 * f64::from(slot_count(&load)));
+                    (index, -(used + distance_cost(slot, request) + jitter))
                 })
             })
             .collect();
-        best_of(candidates, scored)
+        select_best(candidates, scored)
     }
 
-    fn waits_for_room(&self) -> bool {
+    fn waits_for_capacity(&self) -> bool {
         true
     }
 }
 
 /// Candidates that may be tried and are well, with their indices.
-fn usable<'a>(
+fn eligible_candidates<'a>(
     candidates: &'a [Arc<ServerSlot>],
-    need: &'a PlacementNeed<'_>,
+    request: &'a PlacementRequest<'_>,
 ) -> impl Iterator<Item = (usize, &'a Arc<ServerSlot>)> {
-    candidates.iter().enumerate().filter(|(_, slot)| need.allows(slot) && !slot.is_set_aside())
+    candidates.iter().enumerate().filter(|(_, slot)| request.allows(slot) && !slot.is_set_aside())
 }
 
 /// Predicted tokens of work until the prompt is read on `slot`. An urgent
@@ -105,45 +116,51 @@
 fn prefill_cost(
     slot: &ServerSlot,
     load: &ServerLoad,
-    need: &PlacementNeed<'_>,
-    missing: f64,
+    request: &PlacementRequest<'_>,
+    missing_fraction: f64,
 ) -> f64 {
-    let shape = need.shape;
+    let shape = request.shape;
     let queue = load.queued_tokens as f64;
-    let queue = if need.priority == Priority::Urgent { queue * 0.1 } else { queue };
-    let own = f64::from(shape.tokens.saturating_sub(shape.prefix_tokens));
-    let prefix = f64::from(shape.prefix_tokens) * missing * need.preset.recompute_weight;
-    let away = f64::from(shape.tokens) * distance(slot, need);
-    queue + own + prefix + away + fastrand::f64() * JITTER_TOKENS
+    let queue = if request.priority == Priority::Urgent { queue * 0.1 } else { queue };
+    let suffix = f64::from(shape.tokens.saturating_sub(shape.prefix_tokens));
+    let prefix =
+        f64::from(shape.prefix_tokens) * missing_fraction * request.preset.recompute_weight;
+    let distance_tokens = f64::from(shape.tokens) * distance_cost(slot, request);
+    queue + suffix + prefix + distance_tokens + fastrand::f64() * JITTER_TOKENS
 }
 
 /// Whether `slot` should get one more prompt: a slot is free, and for
 /// standard work the queue is under the preset's bound and our own part of
 /// it under our share, which counts without the lag of reports.
-fn has_prefill_room(slot: &ServerSlot, load: &ServerLoad, need: &PlacementNeed<'_>) -> bool {
-    let bound = u64::from(need.preset.prefill_queue_tokens);
-    let queue_ok = need.priority == Priority::Urgent
-        || (load.queued_tokens < bound && slot.queued_tokens() <= need.own_queue_tokens);
-    queue_ok && free_slots(load, need) > 0
+fn has_prefill_capacity(
+    slot: &ServerSlot,
+    load: &ServerLoad,
+    request: &PlacementRequest<'_>,
+) -> bool {
+    let bound = u64::from(request.preset.prefill_queue_tokens);
+    let queue_has_capacity = request.priority == Priority::Urgent
+        || (load.queued_tokens < bound && slot.queued_tokens() <= request.max_local_queue_tokens);
+    queue_has_capacity && free_slots(load, request) > 0
 }
 
-fn is_idle(load: &ServerLoad, need: &PlacementNeed<'_>) -> bool {
-    (load.queued_tokens as f64) < f64::from(need.preset.prefill_queue_tokens) * IDLE_SHARE
+fn is_idle(load: &ServerLoad, request: &PlacementRequest<'_>) -> bool {
+    (load.queued_tokens as f64)
+        < f64::from(request.preset.prefill_queue_tokens) * IDLE_QUEUE_FRACTION
 }
 
 /// Slots free for this request beyond the reserve it must leave.
-fn free_slots(load: &ServerLoad, need: &PlacementNeed<'_>) -> u32 {
-    slots_of(load).saturating_sub(load.running + need.reserve)
+fn free_slots(load: &ServerLoad, request: &PlacementRequest<'_>) -> u32 {
+    slot_count(load).saturating_sub(load.running + request.reserve)
 }
 
-fn slots_of(load: &ServerLoad) -> u32 {
+fn slot_count(load: &ServerLoad) -> u32 {
     if load.slots == 0 { UNKNOWN_SLOTS } else { load.slots }
 }
 
-fn distance(slot: &ServerSlot, need: &PlacementNeed<'_>) -> f64 {
-    if slot.entry.region != need.region {
+fn distance_cost(slot: &ServerSlot, request: &PlacementRequest<'_>) -> f64 {
+    if slot.entry.region != request.region {
         OTHER_REGION_COST
-    } else if slot.entry.domain != need.domain {
+    } else if slot.entry.domain != request.domain {
         OTHER_DOMAIN_COST
     } else {
         0.0
@@ -155,21 +172,21 @@
 /// server that leaves moves only its own prefixes.
 fn ranked_candidates(
     candidates: &[Arc<ServerSlot>],
-    need: &PlacementNeed<'_>,
+    request: &PlacementRequest<'_>,
 ) -> SmallVec<[usize; 2]> {
-    if need.shape.prefix_hash == 0 {
+    if request.shape.prefix_hash == 0 {
         return SmallVec::new();
     }
     let mut weights: Vec<(u64, usize)> = candidates
         .iter()
         .enumerate()
-        .filter(|(_, slot)| slot.entry.region == need.region)
-        .map(|(at, slot)| (rendezvous_weight(need.shape.prefix_hash, &slot.entry.server), at))
+        .filter(|(_, slot)| slot.entry.region == request.region)
+        .map(|(index, slot)| (rank_weight(request.shape.prefix_hash, &slot.entry.server), index))
         .collect();
     weights.sort_unstable_by(|left, right| right.cmp(left));
-    weights.into_iter().take(RANKED_MISSING.len()).map(|(_, at)| at).collect()
+    weights.into_iter().take(RANKED_MISSING_FRACTION.len()).map(|(_, index)| index).collect()
 }
 
-fn rendezvous_weight(prefix_hash: u64, server: &str) -> u64 {
+fn rank_weight(prefix_hash: u64, server: &str) -> u64 {
     umberglade_wire::digest_seeded(server.as_bytes(), prefix_hash)
 }
--- a/crates/router/src/placement/baseline.rs
+++ b/crates/router/src/placement/baseline.rs
@@ -6,8 +6,8 @@
 
 use super::Choice;
 use super::Placement;
-use super::PlacementNeed;
-use super::best_of;
+use super::PlacementRequest;
+use super::select_best;
 use crate::control::ServerSlot;
 
 /// Servers in turn, blind to load and prefix.
@@ -17,29 +17,41 @@
 }
 
 impl RoundRobinPlacement {
-    fn turn(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
+    fn next_in_rotation(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
         if candidates.is_empty() {
             return None;
         }
-        let first = self.next.fetch_add(1, Ordering::Relaxed);
+        let start = self.next.fetch_add(1, Ordering::Relaxed);
         let scored = (0..candidates.len())
-            .map(|offset| ((first + offset) % candidates.len(), -(offset as f64)))
-            .filter(|(at, _)| need.allows(&candidates[*at]))
+            .map(|offset| ((start + offset) % candidates.len(), -(offset as f64)))
+            .filter(|(index, _)| request.allows(&candidates[*index]))
             .collect();
-        best_of(candidates, scored)
+        select_best(candidates, scored)
     }
 }
 
 impl Placement for RoundRobinPlacement {
-    fn prefill(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        self.turn(candidates, need)
+    fn prefill(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        self.next_in_rotation(candidates, request)
     }
 
-    fn decode(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        self.turn(candidates, need)
+    fn decode(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        self.next_in_rotation(candidates, request)
     }
 
-    fn waits_for_room(&self) -> bool {
+    fn waits_for_capacity(&self) -> bool {
         false
     }
 }
@@ -49,27 +61,38 @@
 pub struct LeastLoadedPlacement;
 
 impl LeastLoadedPlacement {
-    fn least(candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
+    fn least_loaded(
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
         let scored = candidates
             .iter()
             .enumerate()
-            .filter(|(_, slot)| need.allows(slot))
-            .map(|(at, slot)| (at, -f64::from(slot.load().running) - fastrand::f64() / 2.0))
+            .filter(|(_, slot)| request.allows(slot))
+            .map(|(index, slot)| (index, -f64::from(slot.load().running) - fastrand::f64() / 2.0))
             .collect();
-        best_of(candidates, scored)
+        select_best(candidates, scored)
     }
 }
 
 impl Placement for LeastLoadedPlacement {
-    fn prefill(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        Self::least(candidates, need)
+    fn prefill(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        Self::least_loaded(candidates, request)
     }
 
-    fn decode(&self, candidates: &[Arc<ServerSlot>], need: &PlacementNeed<'_>) -> Option<Choice> {
-        Self::least(candidates, need)
+    fn decode(
+        &self,
+        candidates: &[Arc<ServerSlot>],
+        request: &PlacementRequest<'_>,
+    ) -> Option<Choice> {
+        Self::least_loaded(candidates, request)
     }
 
-    fn waits_for_room(&self) -> bool {
+    fn waits_for_capacity(&self) -> bool {
         false
     }
 }
--- a/crates/router/src/placement/prefix_memory.rs
+++ b/crates/router/src/placement/prefix_index.rs
@@ -9,43 +9,43 @@
 use umberglade_wire::ids::ServerId;
 
 /// Prefixes remembered; beyond it those not used within their keep go.
-const PREFIXES_KEPT: usize = 4096;
+const MAX_PREFIXES: usize = 4096;
 
 /// A server and when it last computed or reused the prefix.
 type PrefixHolder = (ServerId, Instant);
 
 /// The memory: prefix digest → servers that should still have it cached.
 #[derive(Debug, Default)]
-pub struct PrefixMemory {
+pub struct PrefixIndex {
     holders: Mutex<HashMap<u64, SmallVec<[PrefixHolder; 4]>>>,
 }
 
-impl PrefixMemory {
+impl PrefixIndex {
     /// Servers that used `prefix_hash` within `keep`.
-    pub fn holders(&self, prefix_hash: u64, keep: Duration) -> SmallVec<[ServerId; 4]> {
+    pub fn holders(&self, prefix_hash: u64, retention: Duration) -> SmallVec<[ServerId; 4]> {
         let holders = self.holders.lock().expect("prefix memory lock");
-        let Some(known) = holders.get(&prefix_hash) else {
+        let Some(entries) = holders.get(&prefix_hash) else {
             return SmallVec::new();
         };
-        known
+        entries
             .iter()
-            .filter(|(_, used)| used.elapsed() < keep)
+            .filter(|(_, used)| used.elapsed() < retention)
             .map(|(server, _)| server.clone())
             .collect()
     }
 
     /// Notes that `server` uses `prefix_hash` now; forgets what is older
     /// than `keep`.
-    pub fn note(&self, prefix_hash: u64, server: &str, keep: Duration) {
+    pub fn record(&self, prefix_hash: u64, server: &str, retention: Duration) {
         let now = Instant::now();
         let mut holders = self.holders.lock().expect("prefix memory lock");
-        let known = holders.entry(prefix_hash).or_default();
-        known.retain(|(holder, used)| holder != server && now.duration_since(*used) < keep);
-        known.push((server.to_owned(), now));
-        if holders.len() > PREFIXES_KEPT {
-            holders.retain(|_, known| {
-                known.retain(|(_, used)| now.duration_since(*used) < keep);
-                !known.is_empty()
+        let entries = holders.entry(prefix_hash).or_default();
+        entries.retain(|(holder, used)| holder != server && now.duration_since(*used) < retention);
+        entries.push((server.to_owned(), now));
+        if holders.len() > MAX_PREFIXES {
+            holders.retain(|_, entries| {
+                entries.retain(|(_, used)| now.duration_since(*used) < retention);
+                !entries.is_empty()
             });
         }
     }
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -6,7 +6,7 @@
 use umberglade_router::control::ServerSlot;
 use umberglade_router::placement::AffinityPlacement;
 use umberglade_router::placement::Placement;
-use umberglade_router::placement::PlacementNeed;
+use umberglade_router::placement::PlacementRequest;
 use umberglade_router::preset::Preset;
 use umberglade_router::prompt::PromptShape;
 use umberglade_wire::engine::EngineRole;
@@ -80,26 +80,29 @@
     for case in cases {
         let slots = slots(&case.candidates);
         let avoid: Vec<String> = case.avoid.iter().map(|name| (*name).to_owned()).collect();
-        let need = PlacementNeed {
+        let request = PlacementRequest {
             shape: &shape,
             priority: case.priority,
             preset: &preset,
             domain: "hall-a",
             region: "north",
             avoid: &avoid,
-            picky: false,
+            cached_or_idle_only: false,
             reserve: case.reserve,
-            own_queue_tokens: 16_000,
+            max_local_queue_tokens: 16_000,
         };
         let policy = AffinityPlacement::default();
-        let choice =
-            if is_prefill { policy.prefill(&slots, &need) } else { policy.decode(&slots, &need) };
+        let choice = if is_prefill {
+            policy.prefill(&slots, &request)
+        } else {
+            policy.decode(&slots, &request)
+        };
         assert_eq!(choice.map(|choice| choice.index), case.chosen, "{}", case.name);
     }
 }
 
 #[test]
-fn decode_goes_where_there_is_room_nearby() {
+fn decode_prefers_free_servers_nearby() {
     let far = Candidate { domain: "hall-b", ..IDLE };
     let other_region = Candidate { region: "south", ..IDLE };
     let running = |running| Candidate { running, ..IDLE };
@@ -132,7 +135,7 @@
 }
 
 #[test]
-fn prefill_goes_where_the_prompt_is_read_soonest() {
+fn prefill_prefers_earliest_completion() {
     let queued = |queued_tokens| Candidate { queued_tokens, ..IDLE };
     check(
         vec![
@@ -162,30 +165,30 @@
 /// go back to the server that has the guidelines cached, also when it has
 /// some queue, and elsewhere once its queue is at the bound.
 #[test]
-fn a_shared_prefix_returns_to_the_server_that_has_it() {
+fn shared_prefix_is_placed_on_its_cached_server() {
     let preset = preset();
     let shape = PromptShape { tokens: 4000, prefix_hash: 99, prefix_tokens: 1800, digest: 1 };
-    let need = PlacementNeed {
+    let request = PlacementRequest {
         shape: &shape,
         priority: Priority::Standard,
         preset: &preset,
         domain: "hall-a",
         region: "north",
         avoid: &[],
-        picky: false,
+        cached_or_idle_only: false,
         reserve: 2,
-        own_queue_tokens: 16_000,
+        max_local_queue_tokens: 16_000,
     };
     let policy = AffinityPlacement::default();
     let slots = slots(&[IDLE; 6]);
-    let first = policy.prefill(&slots, &need).unwrap().index;
+    let first = policy.prefill(&slots, &request).unwrap().index;
     let _waiting = slots[first].begin(6000);
     for _ in 0..10 {
-        assert_eq!(policy.prefill(&slots, &need).unwrap().index, first);
+        assert_eq!(policy.prefill(&slots, &request).unwrap().index, first);
     }
     slots[first].observe(LoadSample { running: 9, slots: 20, queued_tokens: 20_000 });
-    assert_ne!(policy.prefill(&slots, &need).unwrap().index, first);
-    let picky = PlacementNeed { picky: true, ..need };
-    let choice = policy.prefill(&slots, &picky).map(|choice| choice.index);
+    assert_ne!(policy.prefill(&slots, &request).unwrap().index, first);
+    let restricted = PlacementRequest { cached_or_idle_only: true, ..request };
+    let choice = policy.prefill(&slots, &restricted).map(|choice| choice.index);
     assert!(choice.is_some_and(|index| index != first), "an idle server will do: {choice:?}");
 }
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -5,14 +5,14 @@
 use proptest::prelude::*;
 use umberglade_router::admission::RetryBudget;
 use umberglade_router::control::ControlSnapshot;
-use umberglade_router::pipeline::AnswerAssembler;
-use umberglade_router::pipeline::AnswerStep;
+use umberglade_router::pipeline::AssemblyStep;
+use umberglade_router::pipeline::ResponseAssembler;
 use umberglade_wire::engine::DecodeEvent;
 use umberglade_wire::platform::ACTIVE_KEY;
 use umberglade_wire::platform::ActivePreset;
 use umberglade_wire::platform::Row;
 
-const OWN: &str = "entry-1-a-1";
+const REQUEST_ID: &str = "entry-1-a-1";
 
 /// One line of a stream, as an engine may send it in any order.
 #[derive(Debug, Clone)]
@@ -31,7 +31,7 @@
 }
 
 fn event(line: &Line) -> DecodeEvent {
-    let id = |own: &bool| if *own { OWN.to_owned() } else { "entry-2-b-1".to_owned() };
+    let id = |own: &bool| if *own { REQUEST_ID.to_owned() } else { "entry-2-b-1".to_owned() };
     match line {
         Line::Token { own, index } => {
             let owner = if *own { "own" } else { "other" };
@@ -52,13 +52,13 @@
 /// Feeds `lines`, starting a new stream (at the token due) whenever one
 /// breaks, until the answer is done; the text and whether it was done.
 fn assemble(lines: &[Line]) -> (Vec<String>, Option<u32>) {
-    let mut assembler = AnswerAssembler::new(OWN.to_owned());
+    let mut assembler = ResponseAssembler::new(REQUEST_ID.to_owned());
     let mut text = Vec::new();
     for line in lines {
         match assembler.accept(event(line)) {
-            AnswerStep::Token(token) => text.push(token),
-            AnswerStep::Done { tokens, .. } => return (text, Some(tokens)),
-            AnswerStep::Ignored | AnswerStep::Broken(_) => {}
+            AssemblyStep::Token(token) => text.push(token),
+            AssemblyStep::Done { tokens, .. } => return (text, Some(tokens)),
+            AssemblyStep::Ignored | AssemblyStep::Broken(_) => {}
         }
     }
     (text, None)
@@ -70,7 +70,7 @@
     /// is always the own answer's tokens 0, 1, 2, … each once, and it is
     /// called done only when all of them were passed on.
     #[test]
-    fn an_answer_is_always_its_own_prefix(lines in prop::collection::vec(line(), 0..80)) {
+    fn response_contains_only_its_own_tokens_in_order(lines in prop::collection::vec(line(), 0..80)) {
         let (text, done) = assemble(&lines);
         for (index, token) in text.iter().enumerate() {
             prop_assert_eq!(token, &format!("own{index} "));
@@ -84,7 +84,7 @@
     /// again, from copies of the store that lag or went back. The fence a
     /// daemon holds never falls, and the preset always belongs to it.
     #[test]
-    fn a_preset_never_reverts(versions in prop::collection::vec(1u64..20, 1..60)) {
+    fn preset_never_reverts(versions in prop::collection::vec(1u64..20, 1..60)) {
         let mut snapshot = ControlSnapshot::default();
         let mut highest = 0;
         for version in versions {
@@ -98,15 +98,15 @@
     /// Requests and retries come in any mixture. Retries granted never
     /// exceed a fifth of the requests beyond what was saved at the start.
     #[test]
-    fn retries_stay_within_their_budget(calls in prop::collection::vec(any::<bool>(), 0..2000)) {
+    fn retries_stay_within_budget(calls in prop::collection::vec(any::<bool>(), 0..2000)) {
         let budget = RetryBudget::default();
         let mut requests = 0.0;
         let mut retries = 0.0;
         for is_request in calls {
             if is_request {
-                budget.earn();
+                budget.deposit();
                 requests += 1.0;
-            } else if budget.spend() {
+            } else if budget.try_consume() {
                 retries += 1.0;
             }
             prop_assert!(retries <= 20.0 + requests * 0.2 + 1e-6);
--- a/crates/router/tests/server_counts.rs
+++ b/crates/router/tests/server_counts.rs
@@ -27,7 +27,7 @@
 /// The request ends after: the count must fall to zero on the new entry.
 /// It used to stay at one for good, since the new entry had copied it.
 #[test]
-fn a_count_outlives_a_change_of_its_servers_entry() {
+fn in_flight_count_survives_entry_change() {
     let mut snapshot = ControlSnapshot::default();
     snapshot.apply_instances(list(false, vec![entry("d", InstanceState::Live)]));
     let guard = snapshot.servers[0].begin(100);
@@ -42,13 +42,13 @@
 struct ChangeCase {
     name: &'static str,
     change: InstanceList,
-    takes_work: &'static [&'static str],
+    available: &'static [&'static str],
 }
 
 /// Servers leave, go and come through changes of the list; only live ones
 /// take new work, and a whole list replaces what was.
 #[test]
-fn only_live_servers_take_new_work() {
+fn only_live_servers_are_candidates() {
     let cases = [
         ChangeCase {
             name: "whole list",
@@ -56,26 +56,26 @@
                 false,
                 vec![entry("a", InstanceState::Live), entry("b", InstanceState::Live)],
             ),
-            takes_work: &["a", "b"],
+            available: &["a", "b"],
         },
         ChangeCase {
             name: "b leaves",
             change: list(true, vec![entry("b", InstanceState::Leaving)]),
-            takes_work: &["a"],
+            available: &["a"],
         },
-        ChangeCase { name: "nothing changed", change: list(true, Vec::new()), takes_work: &["a"] },
+        ChangeCase { name: "nothing changed", change: list(true, Vec::new()), available: &["a"] },
         ChangeCase {
             name: "b gone, c comes",
             change: list(
                 true,
                 vec![entry("b", InstanceState::Gone), entry("c", InstanceState::Live)],
             ),
-            takes_work: &["a", "c"],
+            available: &["a", "c"],
         },
         ChangeCase {
             name: "whole list again",
             change: list(false, vec![entry("c", InstanceState::Live)]),
-            takes_work: &["c"],
+            available: &["c"],
         },
     ];
     let mut snapshot = ControlSnapshot::default();
@@ -83,14 +83,14 @@
         snapshot.apply_instances(case.change);
         let pool = snapshot.candidates(EngineRole::Decode, "m");
         let names: Vec<&str> = pool.iter().map(|slot| slot.entry.server.as_str()).collect();
-        assert_eq!(names, case.takes_work, "{}", case.name);
+        assert_eq!(names, case.available, "{}", case.name);
     }
 }
 
 /// Reports lag and hold our own requests too. What other daemons have
 /// there is told from our own, and our own is counted without lag.
 #[test]
-fn a_report_is_corrected_by_our_own_count() {
+fn load_report_is_corrected_by_local_count() {
     let mut snapshot = ControlSnapshot::default();
     snapshot.apply_instances(list(false, vec![entry("d", InstanceState::Live)]));
     let slot = &snapshot.servers[0];
