--- a/crates/router/src/admission/admission_queue.rs
+++ b/crates/router/src/admission/admission_queue.rs
@@ -1,5 +1,5 @@
-//! The waiting room: requests wait at the daemon, not at the engines,
-//! until their servers have room; urgent ones first, none starved.
+//! The admission queue: requests wait at the daemon rather than at the engines until their
+//! servers have capacity. Urgent requests go first, without starving standard ones.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -15,35 +15,34 @@
 use super::class_queue::OUT_OF_ORDER_WINDOW;
 use super::class_queue::QueuedRequest;
 
-/// How often the first in line looks again by itself: other daemons free
-/// room too, which no event of ours tells.
+/// How often the head of the queue retries without being woken: capacity that other daemons free
+/// raises no local event.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long the first in line holds out for a server that has its prefix,
-/// while servers are busy.
+/// How long the head of the queue waits for a server that has its prefix cached, while servers
+/// are busy.
 const CACHE_AFFINITY_WAIT: Duration = Duration::from_millis(150);
-/// Urgent placements in a row after which waiting standard work may take
-/// the room kept for urgent work.
+/// Consecutive urgent placements after which a queued standard request may use the capacity
+/// reserved for urgent ones.
 const MAX_BYPASSES: u32 = 32;
 
-/// Why a request left the room without a place.
+/// A request left the queue without being placed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRejection {
-    /// Seconds after which there should be room.
+    /// Seconds after which capacity is expected.
     pub retry_after_s: u64,
 }
 
-/// The requests for one model that wait, a line for each class. The first
-/// of each line tries for itself, so a long prompt that finds no room
-/// never holds up a lookup that would. One lock, never held across an
-/// await or a placement.
+/// The queued requests for one model, one queue per priority class. The head of each queue tries
+/// independently, so a long prompt without capacity never blocks a lookup that would be placed.
+/// A single lock guards all queues and is never held across an await or a placement.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     queues: Mutex<ClassQueues>,
 }
 
-/// A place in line, given up when dropped: a caller that hangs up while
-/// waiting leaves at once.
+/// A position in the queue. Dropping it removes the request, so a caller that disconnects while
+/// waiting leaves the queue at once.
 struct QueueTicket<'a> {
     queue: &'a AdmissionQueue,
     priority: Priority,
@@ -59,23 +58,22 @@
     }
 }
 
-/// How a placement is tried.
+/// The restrictions under which a placement is tried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementMode {
-    /// Only where the request's prefix is cached, or where a server idles:
-    /// what it must compute anew, it would take from the others in line.
+    /// Only on a server that has the prefix cached or is idle: recomputing the prefix on a busy
+    /// server would take capacity from the other queued requests.
     CachedOrIdle,
-    /// Anywhere within the class's own bounds.
+    /// On any server, within the limits of the request's class.
     Normal,
-    /// Standard work passed over many times in a row by urgent work: it
-    /// may take the room kept free for that.
+    /// Also within the capacity reserved for urgent requests: for standard requests that urgent
+    /// ones have bypassed many times in a row.
     UseReserve,
 }
 
 impl AdmissionQueue {
-    /// Waits until `place` yields something, first in line first, for at
-    /// most `patience`; refuses at once when the line ahead is predicted
-    /// to outlast it.
+    /// Waits in queue order until `try_place` returns a placement, for at most `max_wait`.
+    /// Rejects at once when the predicted wait is longer than that.
     pub async fn acquire<T>(
         &self,
         priority: Priority,
@@ -108,24 +106,24 @@
         }
     }
 
-    /// Room may have come free: the first of each line looks.
+    /// Wakes the requests that may be placed, after capacity may have become free.
     pub fn notify_capacity(&self) {
         self.lock().wake_eligible();
     }
 
-    /// Requests waiting now.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         let queues = self.lock();
         queues.urgent.requests.len() + queues.standard.requests.len()
     }
 
-    /// True when nobody waits.
+    /// Returns true when no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn lock(&self) -> MutexGuard<'_, ClassQueues> {
-        self.queues.lock().expect("waiting room lock")
+        self.queues.lock().expect("admission queue lock")
     }
 
     fn enqueue(&self, priority: Priority) -> QueueTicket<'_> {
@@ -137,12 +135,12 @@
         QueueTicket { queue: self, priority, ticket_id, wake }
     }
 
-    /// How the holder of `ticket` may try now; `None` while it is too far
-    /// back. `first_since` is when it came to the front.
+    /// Returns how the request holding `ticket` may be placed now; `None` while it is too far
+    /// back. `head_since` is set when it reaches the head of the queue.
     ///
-    /// Guards against long work starved by a steady stream of lookups: once
-    /// passed over often enough, its first in line may take the room kept
-    /// for urgent work, so it gets at least one placement in so many.
+    /// Prevents a steady stream of lookups from starving long requests: after [`MAX_BYPASSES`]
+    /// bypasses the head of the standard queue may use the capacity reserved for urgent requests,
+    /// so it gets at least one placement in so many.
     fn placement_mode(
         &self,
         ticket: &QueueTicket<'_>,
@@ -172,7 +170,7 @@
         queues.for_priority(priority).record_placement();
         if priority == Priority::Urgent {
             let standard = &mut queues.standard;
-            // Only work that waits is passed over.
+            // A bypass counts only while standard requests are queued.
             standard.bypass_count =
                 if standard.requests.is_empty() { 0 } else { standard.bypass_count + 1 };
         }
@@ -189,7 +187,7 @@
         }
     }
 
-    /// How long the line ahead of a newcomer of `priority` should take.
+    /// Predicts how long a new request of `priority` would wait for those ahead of it.
     fn predicted_wait(&self, priority: Priority) -> Option<Duration> {
         let mut queues = self.lock();
         let queue = queues.for_priority(priority);
--- a/crates/router/src/admission/class_queue.rs
+++ b/crates/router/src/admission/class_queue.rs
@@ -1,4 +1,4 @@
-//! The lines of the waiting room, one for each class.
+//! The queues of an [`AdmissionQueue`](super::AdmissionQueue), one per priority class.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,16 +8,16 @@
 use event_listener::Event;
 use umberglade_wire::engine::Priority;
 
-/// Waiters of the standard line, from the front, who may try before their
-/// turn where their prefix is cached.
+/// Requests at the front of the standard queue that may be placed out of order on a server that
+/// has their prefix cached.
 pub(super) const OUT_OF_ORDER_WINDOW: usize = 32;
-/// The span over which the rate of placements is measured.
+/// The window over which the placement rate is measured.
 const RATE_WINDOW: Duration = Duration::from_secs(2);
-/// The shortest span that tells a rate.
+/// A placement rate is reported only after at least this much of the window has passed.
 const MIN_RATE_SPAN: Duration = Duration::from_millis(250);
-/// Placements in the window below which no rate is known.
+/// A placement rate is reported only from at least this many placements in the window.
 const MIN_RATE_SAMPLES: usize = 4;
-/// Placements remembered at most.
+/// Upper bound on the placement times kept.
 const MAX_PLACEMENTS: usize = 4096;
 
 #[derive(Debug)]
@@ -26,21 +26,21 @@
     pub wake: Arc<Event>,
 }
 
-/// The line of one class, first come first served.
+/// The first-in, first-out queue of one priority class.
 #[derive(Debug, Default)]
 pub(super) struct ClassQueue {
-    /// Invariant: tickets grow from front to back.
+    /// Invariant: ticket ids increase from front to back.
     pub requests: VecDeque<QueuedRequest>,
-    /// Since when somebody has waited without a break.
+    /// Since when the queue has been non-empty without interruption.
     pub nonempty_since: Option<Instant>,
-    /// When the latest placements were made, oldest first.
+    /// Times of the latest placements, oldest first.
     placements: VecDeque<Instant>,
-    /// Placements of the other class since the last of this one.
+    /// Placements of the other class since the last one of this class.
     pub bypass_count: u32,
 }
 
 impl ClassQueue {
-    /// Counts a placement of this class.
+    /// Records a placement of this class and resets its bypass count.
     pub fn record_placement(&mut self) {
         self.placements.push_back(Instant::now());
         if self.placements.len() > MAX_PLACEMENTS {
@@ -49,13 +49,11 @@
         self.bypass_count = 0;
     }
 
-    /// Adds a waiter at the end.
     pub fn push(&mut self, request: QueuedRequest) {
         self.nonempty_since.get_or_insert_with(Instant::now);
         self.requests.push_back(request);
     }
 
-    /// Takes the waiter with `ticket` out.
     pub fn remove(&mut self, ticket_id: u64) {
         self.requests.retain(|request| request.ticket_id != ticket_id);
         if self.requests.is_empty() {
@@ -63,11 +61,11 @@
         }
     }
 
-    /// Placements a second while somebody waited all along; `None` before
-    /// that has lasted long enough to tell.
+    /// Returns the placements per second, counting only the time since the queue was last empty;
+    /// `None` while there are too few samples.
     ///
-    /// Guards against refusing at a quiet site: there placements are few
-    /// because arrivals are, and their rate says nothing of the room.
+    /// Prevents rejections at a site with little traffic: there, few placements mean few arrivals
+    /// and say nothing about the available capacity.
     pub fn rate(&mut self) -> Option<f64> {
         let now = Instant::now();
         let window_start = now.checked_sub(RATE_WINDOW)?;
@@ -96,7 +94,7 @@
         }
     }
 
-    /// Wakes those who may try, the urgent one first.
+    /// Wakes the requests that may be placed now, the urgent one first.
     pub fn wake_eligible(&self) {
         let urgent = self.urgent.requests.iter().take(1);
         for request in urgent.chain(self.standard.requests.iter().take(OUT_OF_ORDER_WINDOW)) {
--- a/crates/router/src/admission/mod.rs
+++ b/crates/router/src/admission/mod.rs
@@ -1,5 +1,5 @@
-//! What bounds the work a daemon takes on: the waiting room, the retry
-//! budget and the pace it predicts by.
+//! Limits the work a daemon accepts: the admission queue, the retry budget and the estimate of
+//! prefill times that predictions use.
 
 mod admission_queue;
 mod class_queue;
--- a/crates/router/src/admission/prefill_time_estimator.rs
+++ b/crates/router/src/admission/prefill_time_estimator.rs
@@ -1,18 +1,18 @@
-//! How fast prefill servers read prompts, as measured from their answers.
+//! Estimates how long prefill servers take per prompt token, from their response times.
 
 use std::sync::atomic::AtomicU64;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// Assumed until the first answer: nanoseconds per prompt token.
+/// Nanoseconds per prompt token assumed before the first measurement.
 const INITIAL_ESTIMATE_NS: u64 = 20_000;
-/// Prompts shorter than this take mostly what any exchange takes, and tell
-/// nothing of the pace of long ones.
+/// Shorter prompts are ignored: their time is mostly the fixed cost of an exchange and says
+/// nothing about long prompts.
 const MIN_TOKENS: u64 = 1024;
-/// The weight of one more measurement.
+/// The weight of a new measurement in the moving average.
 const SMOOTHING_FACTOR: f64 = 0.1;
 
-/// A moving average of nanoseconds per prompt token.
+/// An exponential moving average of nanoseconds per prompt token.
 #[derive(Debug)]
 pub struct PrefillTimeEstimator {
     per_token_ns: AtomicU64,
@@ -25,9 +25,9 @@
 }
 
 impl PrefillTimeEstimator {
-    /// Takes in that `tokens` (queued ahead and own) took `elapsed`, if
-    /// they are enough to tell. Two
-    /// measurements at once may lose one; an average bears that.
+    /// Records that `tokens` (those queued ahead plus the request's own) took `elapsed`, unless
+    /// there are fewer than [`MIN_TOKENS`]. Concurrent calls may lose a measurement, which is
+    /// acceptable for an average.
     pub fn observe(&self, tokens: u64, elapsed: Duration) {
         if tokens < MIN_TOKENS {
             return;
@@ -38,7 +38,7 @@
         self.per_token_ns.store(updated as u64, Ordering::Relaxed);
     }
 
-    /// How long `tokens` are predicted to take.
+    /// Returns how long `tokens` are predicted to take.
     pub fn predict(&self, tokens: u64) -> Duration {
         Duration::from_nanos(self.per_token_ns.load(Ordering::Relaxed).saturating_mul(tokens))
     }
--- a/crates/router/src/admission/retry_budget.rs
+++ b/crates/router/src/admission/retry_budget.rs
@@ -1,17 +1,16 @@
-//! The retry budget: retries stay a fixed share of the requests.
+//! The retry budget: limits retries to a fixed fraction of the requests.
 
 use std::sync::Mutex;
 
-/// Retries earned by each first attempt.
+/// Retries added to the budget by each first attempt.
 const RETRIES_PER_REQUEST: f64 = 0.2;
-/// Retries that can be saved up, and what a daemon starts with.
+/// The capacity of the budget and its balance at start.
 const MAX_BALANCE: f64 = 20.0;
 
 /// A token bucket filled by first attempts and drained by retries.
 ///
-/// Guards against a retry storm: when servers fail, each daemon's retries
-/// stay within a fifth of its own requests, so the servers left see at
-/// most 1.2 times the load, whatever fails.
+/// Prevents a retry storm: each daemon's retries stay within a fifth of its own requests, so the
+/// remaining servers see at most 1.2 times the load, whatever fails.
 #[derive(Debug)]
 pub struct RetryBudget {
     /// Invariant: from 0 to [`LARGEST_BALANCE`].
@@ -25,13 +24,13 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Adds the retries that a first attempt allows.
     pub fn deposit(&self) {
         let mut balance = self.balance.lock().expect("budget lock");
         *balance = (*balance + RETRIES_PER_REQUEST).min(MAX_BALANCE);
     }
 
-    /// True when one retry may be made; it is then spent.
+    /// Consumes one retry; returns false when none is left.
     pub fn try_consume(&self) -> bool {
         let mut balance = self.balance.lock().expect("budget lock");
         if *balance < 1.0 {
--- a/crates/router/src/front/completion.rs
+++ b/crates/router/src/front/completion.rs
@@ -1,4 +1,4 @@
-//! Completion requests: parsed, classified and admitted.
+//! Parses, classifies and admits completion requests.
 
 use http::Request;
 use http::Response;
@@ -21,14 +21,14 @@
 use crate::prompt;
 use crate::prompt::PromptShape;
 
-/// Which caller route a request came by.
+/// The API route of a completion request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionKind {
     Chat,
     Text,
 }
 
-/// A completion as the caller asked for it.
+/// A completion request with its parameters.
 struct ParsedCompletion {
     model: String,
     shape: PromptShape,
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -1,5 +1,5 @@
-//! The daemon's HTTP front: callers' completions and service calls, the
-//! balancer's health check, status and metrics.
+//! The daemon's HTTP API: completions and service calls, the load balancer's health check, status
+//! and metrics.
 
 mod completion;
 mod rejection;
@@ -71,7 +71,7 @@
         reply::whole(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
     }
 
-    /// The organisation whose API key the request carries, or a 401.
+    /// Returns the organisation whose API key the request carries, or a 401 response.
     fn authenticate(
         &self,
         request: &Request<Incoming>,
@@ -83,8 +83,8 @@
             .and_then(|value| value.strip_prefix("Bearer "))
             .unwrap_or_default();
         let snapshot = self.shared.control.current();
-        // A daemon that has not read the organisations yet knows no key:
-        // it must not tell a proper caller that its key is bad.
+        // Before the organisations are read no key is known, and a caller with a valid key must
+        // not be told that it is invalid.
         if snapshot.organisations_version == 0 {
             return Err(unavailable("no_organisations", "organisations not read yet; not run"));
         }
@@ -96,8 +96,8 @@
         }
     }
 
-    /// Admission: refuses honestly, before any work starts, when a stop or
-    /// the preset refuses new work or the daemon is at its in-flight limit.
+    /// Admits a request. Rejects it before any work starts while the daemon is draining, when the
+    /// preset disallows new work, or when the in-flight limit is reached.
     fn admit(&self, preset: &Preset) -> Result<AdmissionGuard<P>, Response<ReplyBody>> {
         if self.is_draining() || preset.refuse_new_work {
             return Err(unavailable("maintenance", "not taking new work"));
--- a/crates/router/src/front/rejection.rs
+++ b/crates/router/src/front/rejection.rs
@@ -1,4 +1,4 @@
-//! Refusals: honest answers that say whether to come back, and when.
+//! Rejection responses, which say whether and when to retry.
 
 use http::Response;
 use http::StatusCode;
@@ -7,11 +7,11 @@
 
 use crate::events;
 
-/// Seconds a refused caller is told to wait when nothing better is known.
+/// The default `Retry-After` of rejections, in seconds.
 pub(crate) const RETRY_AFTER_S: u64 = 1;
 
-/// A refusal, logged as event [`events::REQUEST_REFUSED`]. 429 and 503
-/// promise that the request was not run.
+/// Returns a rejection and logs it as [`events::REQUEST_REFUSED`]. 429 and 503 guarantee that the
+/// request was not run.
 pub(crate) fn reject(
     status: StatusCode,
     kind: &str,
@@ -24,23 +24,23 @@
         kind,
         message,
         ?retry_after_s,
-        "request refused"
+        "request rejected"
     );
     metrics::counter!("umberglade_refusals_total", "kind" => kind.to_owned()).increment(1);
     reply::refusal(status, kind, message, retry_after_s)
 }
 
-/// A 503 that says to come back soon.
+/// Returns a 503 with the default `Retry-After`.
 pub(crate) fn unavailable(kind: &str, message: &str) -> Response<ReplyBody> {
     reject(StatusCode::SERVICE_UNAVAILABLE, kind, message, Some(RETRY_AFTER_S))
 }
 
-/// A 400 whose `message` names what is wrong.
+/// Returns a 400 whose `message` names the error.
 pub(crate) fn bad_request(message: &str) -> Response<ReplyBody> {
     reject(StatusCode::BAD_REQUEST, "invalid_request_error", message, None)
 }
 
-/// A 404.
+/// Returns a 404 for an unknown route.
 pub(crate) fn not_found() -> Response<ReplyBody> {
     reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such route", None)
 }
--- a/crates/router/src/front/service.rs
+++ b/crates/router/src/front/service.rs
@@ -1,5 +1,5 @@
-//! Calls to plain services: `POST /v1/services/{service}/call` runs at most
-//! once, `GET /v1/services/{service}/lookup/{what}` may be repeated.
+//! Calls to plain services. `POST /v1/services/{service}/call` runs at most once;
+//! `GET /v1/services/{service}/lookup/{what}` may be retried.
 
 use http::Method;
 use http::Request;
@@ -15,9 +15,9 @@
 use crate::pipeline::ServiceCall;
 use crate::placement::Placement;
 
-/// The header that names a non-idempotent action.
+/// The header that identifies a non-idempotent action.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest idempotency key accepted.
+/// The length limit of idempotency keys.
 const MAX_KEY_BYTES: usize = 100;
 
 impl<P: Placement> Daemon<P> {
--- a/crates/router/src/pipeline/cancel.rs
+++ b/crates/router/src/pipeline/cancel.rs
@@ -1,4 +1,4 @@
-//! Cancels sent when a request ends before its answer is whole.
+//! Cancel orders, sent when a request ends before its response is complete.
 
 use std::time::Duration;
 
@@ -11,55 +11,53 @@
 use umberglade_wire::ids::RequestId;
 use umberglade_wire::pool;
 
-/// Bound on one cancel order sent after the request's end.
+/// Time-out of one cancel order sent after the request has ended.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Tries of such a cancel before the engine's own deadline must do.
+/// Attempts at such a cancel, after which the engine's own deadline ends the work.
 const CANCEL_ATTEMPTS: u32 = 3;
-/// Bound on a cancel that a request waits for.
+/// Time-out of a cancel order that the request waits for.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Sends a cancel to every server it names when dropped while armed.
+/// Sends a cancel order to every registered server when dropped while armed.
 ///
-/// Guards against engine memory held for a caller that is gone: whatever
-/// ends the request early (the caller's connection closing drops the
-/// handler, a timeout, an error), this drop runs and the servers free
-/// what they hold. Disarmed only once the answer is whole.
+/// Prevents engines from holding memory for a caller that has disconnected. Whatever ends the
+/// request early (a closed connection drops the handler, a time-out, an error), this drop runs and
+/// the servers free what they hold. Disarmed only once the response is complete.
 #[derive(Debug)]
 pub struct CancelOnDrop {
     request_id: RequestId,
-    /// `host:port` of each server that may hold the request.
+    /// The `host:port` of each server that may hold the request.
     servers: SmallVec<[String; 2]>,
     armed: bool,
 }
 
 impl CancelOnDrop {
-    /// An armed guard for `request_id`, naming no server yet.
+    /// Creates an armed guard for `request_id` with no servers registered.
     pub fn new(request_id: RequestId) -> Self {
         CancelOnDrop { request_id, servers: SmallVec::new(), armed: true }
     }
 
-    /// Names one more server that may hold the request.
+    /// Registers a server that may hold the request.
     pub fn add(&mut self, addr: &str) {
         if !self.servers.iter().any(|server| server == addr) {
             self.servers.push(addr.to_owned());
         }
     }
 
-    /// Forgets `addr`: it has confirmed it holds nothing.
+    /// Removes `addr`, which has confirmed that it holds nothing.
     pub fn remove(&mut self, addr: &str) {
         self.servers.retain(|server| server != addr);
     }
 
-    /// Cancels at `addr` now; true when it confirmed that it holds nothing
-    /// of the request any more. If not, it stays named and is told again
-    /// at the end.
+    /// Sends a cancel order to `addr` now. Returns true once the server confirms that it holds
+    /// nothing of the request; otherwise it stays registered and gets another cancel on drop.
     pub async fn cancel_and_confirm(&mut self, addr: &str) -> bool {
         match cancel(addr, &self.request_id, CONFIRM_TIMEOUT).await {
             Ok(_) => {
                 self.remove(addr);
                 true
             }
-            // Nothing listens there: what held the request is gone.
+            // Nothing listens there, so the process that held the request is gone.
             Err(error) if error.is_unsent() => {
                 self.remove(addr);
                 true
@@ -68,7 +66,7 @@
         }
     }
 
-    /// The answer is whole: send no cancels.
+    /// Disables the cancel orders, because the response is complete.
     pub fn disarm(&mut self) {
         self.armed = false;
     }
@@ -91,7 +89,7 @@
         match cancel(addr, request_id, CANCEL_TIMEOUT).await {
             Ok(_) => return,
             Err(error) if error.is_unsent() => return,
-            Err(error) => tracing::warn!(%request_id, attempt, %error, "cancel not delivered"),
+            Err(error) => tracing::warn!(%request_id, attempt, %error, "cancel order failed"),
         }
     }
 }
--- a/crates/router/src/pipeline/claim.rs
+++ b/crates/router/src/pipeline/claim.rs
@@ -1,4 +1,4 @@
-//! Claiming room at both servers of a request.
+//! Claims capacity on the prefill and the decode server of a request.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,15 +19,14 @@
 use crate::placement::Placement;
 use crate::placement::PlacementRequest;
 
-/// How long an attempt after the first waits for room.
+/// How long an attempt after the first waits for capacity.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(3);
-/// The share of a class's first-token target that a request may spend
-/// waiting and being read. The rest is for what the prediction misses, and
-/// for callers who come back after a refusal: they count from their first
-/// try. Past saturation a shorter line serves as many, but in time.
+/// The fraction of a class's first-token target available for queueing and prefill. The rest
+/// covers prediction errors and callers who retry after a rejection, because they count from their
+/// first attempt. Under overload a shorter queue serves as many requests, but within their target.
 const TARGET_FRACTION: f64 = 0.5;
 
-/// A server chosen for a step, its in-flight count taken.
+/// A server chosen for a stage, with the request counted in flight there.
 #[derive(Debug)]
 pub(crate) struct ClaimedServer {
     pub slot: Arc<ServerSlot>,
@@ -35,15 +34,15 @@
     pub choice: Choice,
 }
 
-/// Both servers of a request.
+/// The prefill and the decode server of a request.
 #[derive(Debug)]
 pub(crate) struct ClaimedPair {
     pub prefill: ClaimedServer,
     pub decode: ClaimedServer,
 }
 
-/// Tells the waiting room that room came free. Declared after the guards
-/// of a struct, it drops after them.
+/// Notifies the admission queue on drop that capacity became free. Must be declared after the
+/// guards of a struct, so that it drops after them.
 #[derive(Debug)]
 pub(crate) struct CapacityNotifier(pub Arc<AdmissionQueue>);
 
@@ -54,7 +53,7 @@
 }
 
 impl<P: Placement> RequestRun<P> {
-    /// Waits for room at a prefill and a decode server and takes it.
+    /// Waits for capacity on a prefill and a decode server and claims it.
     pub async fn claim_pair(&mut self) -> Result<ClaimedPair, RunFailure> {
         let snapshot = self.daemon.shared.control.current();
         for role in [EngineRole::Prefill, EngineRole::Decode] {
@@ -62,8 +61,8 @@
             if pool.is_empty() {
                 return Err(RunFailure::NoServer { role, model: self.admitted.model.clone() });
             }
-            // With every server of the role tried, waiting for another
-            // would last until the deadline: they get one more chance.
+            // Once every server of the role has been tried, waiting for another would last until
+            // the deadline, so all become eligible again.
             if pool.iter().all(|slot| self.avoid.contains(&slot.entry.server)) {
                 self.avoid.clear();
             }
@@ -78,13 +77,13 @@
             .map_err(|rejection| RunFailure::NoCapacity { retry_after_s: rejection.retry_after_s })
     }
 
-    /// Both servers as placed now, or `None` when either has no room. The
-    /// snapshot is read anew: servers may have come while waiting.
+    /// Places the request on both servers; `None` when either lacks capacity. Reads a new
+    /// snapshot, because servers may have joined while the request was queued.
     fn place_pair(&self, mode: PlacementMode) -> Option<ClaimedPair> {
         let snapshot = self.daemon.shared.control.current();
         let decode_pool = snapshot.candidates(EngineRole::Decode, &self.admitted.model);
-        // Decode first: it is the cheaper question, and when it has no
-        // room the prefill policy must not remember a placement.
+        // Decode is checked first: the check is cheaper, and without decode capacity the prefill
+        // policy must not record a placement.
         self.choose_decode(&decode_pool, None, mode)?;
         let prefill = self.place_prefill(&snapshot, mode)?;
         let decode = self.place_decode(&decode_pool, &prefill.slot, mode)?;
@@ -105,7 +104,7 @@
         Some(ClaimedServer { slot, guard, choice })
     }
 
-    /// Takes room at a decode server near `prefill`.
+    /// Claims capacity on a decode server near `prefill`.
     pub fn place_decode(
         &self,
         pool: &ServerPool,
@@ -155,10 +154,9 @@
         }
     }
 
-    /// How long the request may wait for room and still meet its class's
-    /// first-token target: what its prefill should take, the queue before
-    /// it at the server included, is taken off. An attempt after the first
-    /// waits a fixed time: the target may be missed, the answer is owed.
+    /// Returns how long the request may wait for capacity and still meet its class's first-token
+    /// target, less its predicted prefill time including the queue at the server. Later attempts
+    /// wait up to a fixed time, because a late response is better than none.
     fn max_wait(&self) -> Duration {
         if self.attempt > 0 {
             return self.remaining().min(MAX_RETRY_WAIT);
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -1,5 +1,4 @@
-//! The decode step: the KV cache handed to a decode server, its token
-//! stream begun.
+//! The decode stage: hands the KV cache to a decode server and starts its token stream.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,18 +29,17 @@
 use crate::front::RETRY_AFTER_S;
 use crate::placement::Placement;
 
-/// Bound on a decode server's answer head: it fetches the KV cache first.
+/// Time-out for the head of a decode response, which is sent after the KV cache was fetched.
 const DECODE_START_TIMEOUT: Duration = Duration::from_secs(3);
-/// Decode servers tried at once for one export.
+/// Decode servers tried for one export without waiting for capacity.
 const MAX_DECODE_ATTEMPTS: usize = 3;
-/// An export with less time left than this is not sent to another server.
+/// An export with less time left than this is not offered to another server.
 const EXPORT_MARGIN: Duration = Duration::from_millis(50);
-/// The status by which a decode server says that it could not fetch the
-/// KV cache.
+/// The status with which a decode server reports that it could not fetch the KV cache.
 const KV_FETCH_FAILED: u16 = 502;
 const STEP: &str = "decode";
 
-/// A decode stream that has begun, with the counts it holds.
+/// A started decode stream, with its in-flight count.
 #[derive(Debug)]
 pub(crate) struct DecodeStream {
     pub reader: LineReader,
@@ -51,9 +49,9 @@
 }
 
 impl<P: Placement> RequestRun<P> {
-    /// Hands `export` to the claimed decode server, or to another: a full
-    /// server refuses before it fetches, so the finished prefill is kept
-    /// and offered on for as long as its server keeps it.
+    /// Hands `export` to the claimed decode server, or to another. A full server rejects before it
+    /// fetches the KV cache, so the finished prefill stays usable and is offered to others until
+    /// the prefill server discards it.
     pub async fn decode(
         &mut self,
         claimed: ClaimedServer,
@@ -81,8 +79,8 @@
         }
     }
 
-    /// Another decode server for `export`: at once, or, when all were
-    /// tried, as soon as one has room.
+    /// Claims another decode server for `export`: at once, or, when all were tried, as soon as one
+    /// has capacity.
     async fn place_next_decode(
         &mut self,
         export: &KvExport,
@@ -100,8 +98,8 @@
         }
         self.clear_avoided();
         smol::Timer::after(EXPORT_MARGIN).await;
-        // Ahead of all whose prompt is not read yet, and into the reserve:
-        // what is computed must not be thrown away for want of a slot.
+        // Goes ahead of all requests without a finished prefill and may use the reserve, so that
+        // a computed prefill is not discarded for lack of a decode slot.
         let place =
             |_| self.place_decode(&self.decode_pool(), &export.slot, PlacementMode::UseReserve);
         self.queue().acquire(Priority::Urgent, max_wait, place).await.ok()
@@ -139,14 +137,14 @@
                 let notifier = CapacityNotifier(self.queue());
                 Ok(DecodeStream { reader, slot, _guard: guard, _notifier: notifier })
             }
-            // The decode server is well: the export could not be had from
-            // the prefill server. Blaming the former set one decode server
-            // after another aside for a single stalled link.
+            // The decode server is healthy, but it could not fetch the export from the prefill
+            // server. Blaming the decode server would eject one decode server after another for a
+            // single stalled link.
             Err(error) if error.status() == Some(KV_FETCH_FAILED) => {
                 self.cancel.remove(&slot.entry.addr);
                 self.record_failure(&export.slot);
                 let server = export.slot.entry.server.clone();
-                tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "KV cache not handed over");
+                tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "KV cache transfer failed");
                 let retry_after_s = RETRY_AFTER_S;
                 Err(RunFailure::Rejected {
                     step: STEP,
--- a/crates/router/src/pipeline/event_writer.rs
+++ b/crates/router/src/pipeline/event_writer.rs
@@ -1,4 +1,4 @@
-//! Writes an answer's server-sent events.
+//! Writes the server-sent events of a response.
 
 use bytes::BufMut;
 use bytes::Bytes;
@@ -10,26 +10,26 @@
 use super::AdmittedRequest;
 use crate::front::CompletionKind;
 
-/// What closes every stream that is whole.
+/// The last event of every complete stream.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// Gathers events until they are taken to be sent as one chunk.
+/// Buffers events until they are taken and sent as one chunk.
 ///
-/// All events of one answer are alike but for their text, so what stands
-/// before and after it is serialised once.
+/// All events of one response differ only in their text, so the JSON around it is serialised only
+/// once.
 #[derive(Debug)]
 pub(crate) struct EventWriter {
     kind: CompletionKind,
     empty_chunk: ChatChunk,
-    /// `data: {...` up to the delta or text.
+    /// The start of each event, `data: {...` up to the delta or text.
     event_prefix: Bytes,
     buffer: BytesMut,
     is_first: bool,
 }
 
 impl EventWriter {
-    /// A writer of the answer to `admitted`, created at `created` seconds
-    /// of the Unix epoch.
+    /// Creates a writer for the response to `admitted`, created at `created` seconds since the Unix
+    /// epoch.
     pub fn new(admitted: &AdmittedRequest, created: u64) -> Self {
         let object = match admitted.kind {
             CompletionKind::Chat => "chat.completion.chunk",
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds the event of one token.
+    /// Appends the event of one token.
     pub fn token(&mut self, text: &str) {
         self.buffer.put_slice(&self.event_prefix);
         match self.kind {
@@ -72,7 +72,7 @@
         self.buffer.put_slice(b",\"finish_reason\":null}]}\n\n");
     }
 
-    /// Adds the last event and what closes the stream.
+    /// Appends the last event and the end-of-stream marker.
     pub fn finish(&mut self, finish_reason: &str) {
         if self.kind == CompletionKind::Text {
             self.buffer.put_slice(&self.event_prefix);
@@ -90,14 +90,14 @@
         self.buffer.put_slice(DONE);
     }
 
-    /// Adds the event that says the answer is cut: no `[DONE]` follows, so
-    /// it can't be taken for whole.
+    /// Appends an error event for a truncated response. No `[DONE]` follows, so the caller cannot
+    /// mistake the response for a complete one.
     pub fn truncated(&mut self, message: &str) {
         let error = serde_json::json!({ "error": { "message": message, "type": "answer_cut" } });
         self.buffer.put_slice(format!("data: {error}\n\n").as_bytes());
     }
 
-    /// What was added since the last take.
+    /// Returns the events appended since the last call.
     pub fn take(&mut self) -> Bytes {
         self.buffer.split().freeze()
     }
--- a/crates/router/src/pipeline/failure.rs
+++ b/crates/router/src/pipeline/failure.rs
@@ -1,4 +1,4 @@
-//! Why a request's attempt failed, and what its caller is told.
+//! Reasons why an attempt failed, and the HTTP responses for them.
 
 use http::Response;
 use http::StatusCode;
@@ -13,38 +13,38 @@
 use crate::front::reject;
 use crate::front::unavailable;
 
-/// What ended an attempt before its answer began.
+/// An error that ended an attempt before its response started.
 #[derive(Debug, Snafu)]
 pub enum RunFailure {
     /// No live server of the role serves the model.
     #[snafu(display("no live {role} server for model `{model}`; it was not run"))]
     NoServer { role: EngineRole, model: ModelName },
-    /// The servers have no room, and will not in time.
+    /// The servers have no capacity and are not expected to have any in time.
     #[snafu(display("no room at the servers within the target; it was not run"))]
     NoCapacity { retry_after_s: u64 },
-    /// A server said it did not take the step.
+    /// A server responded that it did not accept the stage.
     #[snafu(display("{step}: {server} refused ({status}); no answer was begun"))]
     Rejected { step: &'static str, server: ServerId, status: u16, retry_after_s: u64 },
-    /// A server did not answer; `stopped` when it then confirmed that it
-    /// holds nothing of the request.
+    /// A server did not respond; `stopped` when it then confirmed that it holds nothing of the
+    /// request.
     #[snafu(display("{step}: {server} did not answer"))]
     NoResponse { step: &'static str, server: ServerId, stopped: bool },
-    /// A server has seen a newer preset than this daemon holds.
+    /// A server has seen a newer preset than the one this daemon holds.
     #[snafu(display("this daemon's preset (fence {fence}) is no longer in force; it was not run"))]
     FencedOff { fence: Fence },
-    /// The preset's deadline passed.
+    /// The deadline set by the preset has passed.
     #[snafu(display("deadline of {deadline_ms} ms passed; the request was stopped"))]
     DeadlineExceeded { deadline_ms: u64 },
 }
 
 impl RunFailure {
-    /// Whether another attempt may be made elsewhere.
+    /// Returns whether the request may be retried on another server.
     pub(crate) fn may_retry(&self) -> bool {
         matches!(self, RunFailure::Rejected { .. } | RunFailure::NoResponse { .. })
     }
 
-    /// The caller's answer. 503 promises that nothing runs or will run; a
-    /// server that never confirmed its stop makes it a 504.
+    /// Returns the response for the caller. A 503 guarantees that nothing runs or will run; it is a
+    /// 504 if a server did not confirm the cancel.
     pub(crate) fn rejection(&self) -> Response<ReplyBody> {
         let message = self.to_string();
         match self {
--- a/crates/router/src/pipeline/mod.rs
+++ b/crates/router/src/pipeline/mod.rs
@@ -1,5 +1,5 @@
-//! One request end to end: room claimed, prefill, hand-off of the KV
-//! cache, decode, and the answer streamed or whole.
+//! Processes a request end to end: claims capacity, runs prefill, hands over the KV cache, runs
+//! decode, and returns the response streamed or in one piece.
 
 mod cancel;
 mod claim;
@@ -36,7 +36,7 @@
 use crate::preset::Preset;
 use crate::prompt::PromptShape;
 
-/// A request that passed admission, with the preset in force for it.
+/// A request that passed admission, with the preset that applies to it.
 #[derive(Debug, Clone)]
 pub struct AdmittedRequest {
     pub request_id: RequestId,
@@ -51,8 +51,8 @@
 }
 
 impl<P: Placement> Daemon<P> {
-    /// Serves `admitted` to its end: a whole answer, or a refusal saying
-    /// whether the work ran and when to come back.
+    /// Serves `admitted` to its end. Returns a response, or a rejection that says whether the work
+    /// ran and when to retry.
     pub(crate) async fn serve(
         &self,
         admitted: AdmittedRequest,
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -1,6 +1,5 @@
-//! Calls to plain services (booking-desk, organisation-desk): actions run
-//! at most once through the idempotency ledger, lookups repeated within
-//! the retry budget.
+//! Calls to plain services (booking-desk, organisation-desk). Actions run at most once, by means
+//! of the idempotency ledger; lookups are retried within the retry budget.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -33,16 +32,16 @@
 use crate::placement::PlacementRequest;
 use crate::prompt::text_shape;
 
-/// Bound on one call that may run only once.
+/// Time-out of one call that may run only once.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Bound on one try of a lookup: the caller is on the phone.
+/// Time-out of one lookup attempt. Short because the caller is on the phone.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// Servers tried for one call or lookup.
+/// The most servers tried for one call or lookup.
 const MAX_ATTEMPTS: usize = 3;
-/// Statuses by which a plain service promises that it did not run a call.
+/// Statuses with which a plain service guarantees that it did not run a call.
 const NOT_RUN_STATUSES: [u16; 2] = [429, 503];
 
-/// One call that must not run twice.
+/// A call that must not run twice.
 pub(crate) struct ServiceCall {
     pub organisation: OrganisationId,
     pub service: String,
@@ -50,18 +49,18 @@
     pub payload: serde_json::Value,
 }
 
-/// What became of a call at the servers.
+/// The outcome of a call at the servers.
 enum CallOutcome {
-    /// A server ran it and answered with this.
+    /// A server responded and may have run the call.
     Responded { status: u16, body: String },
-    /// No server ran it.
+    /// No server ran the call.
     NotRun { message: String, retry_after_s: u64 },
-    /// A server may have run it.
+    /// A server may have run the call, but no response arrived.
     Unknown { message: String },
 }
 
 impl<P: Placement> Daemon<P> {
-    /// Runs `call` at most once, whatever retries and races come.
+    /// Runs `call` at most once, also with retries and concurrent calls.
     pub(crate) async fn call_at_most_once(&self, call: ServiceCall) -> Response<ReplyBody> {
         if self.choose_plain_server(&call.service, &[]).is_none() {
             return no_server_response(&call.service);
@@ -84,8 +83,8 @@
         self.finish_call(&record_key, version, outcome).await
     }
 
-    /// Sends the call to a server; to another only when the one before
-    /// promised that it did not run it.
+    /// Sends the call to a server, and to another one only when it is certain that the previous one
+    /// did not run it.
     async fn send_call(&self, call: ServiceCall, record_key: &str) -> CallOutcome {
         let ServiceCall { organisation, service, idempotency_key, payload } = call;
         let body = PlainCall { organisation, idempotency_key, payload };
@@ -138,9 +137,8 @@
     ) -> Response<ReplyBody> {
         let ledger = &self.shared.ledger;
         match outcome {
-            // Any answer that does not promise otherwise may have run the
-            // action (a 500 halfway through): it is recorded and given
-            // again to a retry.
+            // A response without a not-run guarantee may have run the action (a 500 halfway
+            // through), so it is recorded and replayed to retries.
             CallOutcome::Responded { status, body } => {
                 let record = IdempotencyRecord::Done { status, body: body.clone() };
                 ledger.finish(record_key, version, &record).await;
@@ -165,8 +163,8 @@
         }
     }
 
-    /// A lookup, which may be repeated: tried on other servers when one
-    /// refuses, fails or does not answer in time.
+    /// Runs a lookup, which may be retried: other servers are tried when one rejects it, fails or
+    /// does not respond in time.
     pub(crate) async fn lookup(&self, service: &str, what: &str) -> Response<ReplyBody> {
         let path = format!("/v1/lookup/{what}");
         let mut tried: Vec<ServerId> = Vec::new();
@@ -234,7 +232,7 @@
 }
 
 fn replay(record_key: &str, status: u16, body: String) -> Response<ReplyBody> {
-    tracing::info!(event = events::PLAIN_REPLAYED, record_key, "recorded answer given to a retry");
+    tracing::info!(event = events::PLAIN_REPLAYED, record_key, "recorded response replayed");
     let mut response = json_response(status, body);
     response.headers_mut().insert("idempotent-replay", HeaderValue::from_static("true"));
     response
--- a/crates/router/src/pipeline/prefill.rs
+++ b/crates/router/src/pipeline/prefill.rs
@@ -1,4 +1,4 @@
-//! The prefill step: the prompt read on one server, its KV cache exported.
+//! The prefill stage: prefills the prompt on one server, which exports its KV cache.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,16 +21,16 @@
 use crate::front::RETRY_AFTER_S;
 use crate::placement::Placement;
 
-/// What a prefill may take beyond its prediction before its connection is
-/// taken for dead.
+/// The time a prefill may take in addition to its scaled prediction before its connection is
+/// considered dead.
 const PREFILL_SLACK: Duration = Duration::from_millis(1500);
-/// How many times its prediction a prefill may take.
+/// The multiple of its predicted time that a prefill may take.
 const PREDICTION_FACTOR: u32 = 3;
-/// The type of an engine's refusal of an old fencing number.
+/// The error type with which an engine rejects an outdated fencing token.
 const STALE_FENCE: &str = "\"stale_fence\"";
 const STEP: &str = "prefill";
 
-/// A finished prefill: whose it is and until when it is kept.
+/// A finished prefill: the server that holds its KV cache, and how long it keeps it.
 #[derive(Debug)]
 pub(crate) struct KvExport {
     pub reply: PrefillReply,
@@ -39,8 +39,8 @@
 }
 
 impl<P: Placement> RequestRun<P> {
-    /// Has the prompt (with the first `resume_from` tokens of its answer)
-    /// read on the claimed server.
+    /// Prefills the prompt, with the first `resume_from` tokens of its response, on the claimed
+    /// server.
     pub async fn prefill(
         &mut self,
         claimed: ClaimedServer,
@@ -95,14 +95,13 @@
         }
     }
 
-    /// The fencing number of orders sent now.
+    /// Returns the fencing token for orders sent now.
     pub fn fence(&self) -> u64 {
         self.daemon.shared.control.current().fence
     }
 
-    /// The failure that `error` of `step` on `slot` means. A server that
-    /// refused holds nothing; one that never answered is told to stop
-    /// before anything else is tried.
+    /// Records `error` of `step` on `slot` and returns the failure. A server that rejected the
+    /// order holds nothing; one that did not respond is cancelled before any other attempt.
     pub async fn handle_step_error(
         &mut self,
         step: &'static str,
@@ -110,7 +109,7 @@
         error: WireError,
     ) -> RunFailure {
         let server = slot.entry.server.clone();
-        tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "step failed");
+        tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "stage failed");
         if let WireError::Status { status, retry_after_s, body, .. } = error {
             self.cancel.remove(&slot.entry.addr);
             if status == 409 && body.contains(STALE_FENCE) {
--- a/crates/router/src/pipeline/relay.rs
+++ b/crates/router/src/pipeline/relay.rs
@@ -1,5 +1,4 @@
-//! Gives an answer to its caller: as server-sent events, or gathered into
-//! one whole answer.
+//! Sends a response to its caller, as server-sent events or in one piece.
 
 use std::time::SystemTime;
 
@@ -25,26 +24,26 @@
 use crate::front::reject;
 use crate::placement::Placement;
 
-/// Answers with a server-sent-event stream fed by a task on the pool.
+/// Returns a stream of server-sent events, fed by a task on the pool.
 pub(crate) fn stream_response<P: Placement>(feed: ResponseFeed<P>) -> Response<ReplyBody> {
     let (sender, response) = reply::stream(StatusCode::OK, "text/event-stream");
     pool::spawn(async move {
         let request_id = feed.admitted().request_id.clone();
-        // Guards against engine memory held for a caller who hangs up
-        // while no token is due (a stalled server, a wait for room): no
-        // write fails then, but the body's receiver is gone.
+        // Prevents engines from holding memory for a caller that disconnects while no token is
+        // due (a stalled server, a wait for capacity). No write fails then, but the receiver of
+        // the body is dropped.
         let disconnected = async {
             sender.closed().await;
             false
         };
         if !relay_events(feed, &sender).or(disconnected).await {
-            tracing::info!(event = events::CALLER_GONE, %request_id, "caller gone; cancelling");
+            tracing::info!(event = events::CALLER_GONE, %request_id, "caller disconnected; cancelling the request");
         }
     });
     response
 }
 
-/// Relays until the answer ends; false when the caller is gone.
+/// Relays events until the response ends; returns false when the caller has disconnected.
 async fn relay_events<P: Placement>(mut feed: ResponseFeed<P>, sender: &ChunkSender) -> bool {
     let mut writer = EventWriter::new(feed.admitted(), unix_seconds());
     let mut is_first = true;
@@ -52,8 +51,8 @@
         match feed.next().await {
             FeedStep::Token(text) => {
                 writer.token(&text);
-                // One write for all that has arrived: writes and wake-ups
-                // grow with the pace of reads, not with tokens.
+                // All buffered tokens go into one write, so the number of writes and wake-ups
+                // depends on the rate of reads, not of tokens.
                 while let Some(text) = feed.next_buffered() {
                     writer.token(&text);
                 }
@@ -81,7 +80,7 @@
     }
 }
 
-/// Gathers the whole answer, then answers once.
+/// Collects all tokens and returns the response in one piece.
 pub(crate) async fn complete_response<P: Placement>(
     mut feed: ResponseFeed<P>,
 ) -> Response<ReplyBody> {
@@ -142,7 +141,7 @@
     reply::json(StatusCode::OK, &completion)
 }
 
-/// Seconds since the Unix epoch, for the `created` field of answers.
+/// Returns the seconds since the Unix epoch, for the `created` field of responses.
 fn unix_seconds() -> u64 {
     SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).map_or(0, |since| since.as_secs())
 }
--- a/crates/router/src/pipeline/response_assembler.rs
+++ b/crates/router/src/pipeline/response_assembler.rs
@@ -1,47 +1,45 @@
-//! Puts one answer together from a decode server's lines, whatever else
-//! the stream carries.
+//! Assembles one response from the lines of decode streams, ignoring unrelated lines.
 
 use umberglade_wire::engine::DecodeEvent;
 use umberglade_wire::ids::RequestId;
 
-/// What one line of a stream means for the answer.
+/// The effect of one stream line on the response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AssemblyStep {
-    /// The next token, to be passed on.
+    /// The next token, to be forwarded.
     Token(String),
-    /// The answer is whole.
+    /// The response is complete.
     Done { tokens: u32, finish_reason: String },
-    /// Another request's line, or one passed on before: dropped.
+    /// A line of another request, or one already forwarded: dropped.
     Ignored,
-    /// The stream can't give the rest of this answer.
+    /// The stream cannot provide the rest of the response.
     Broken(String),
 }
 
-/// One request's answer so far, over all its decode streams.
+/// The state of one request's response across all its decode streams.
 ///
-/// Guards against crossed, late and repeated lines: only a line that bears
-/// this request's id and the very next index is passed on, and the answer
-/// is whole only when its last line counts as many tokens as were.
+/// Prevents crossed, late and repeated lines from reaching the caller. Only a line with this
+/// request's id and the next index is forwarded, and the response is complete only when its last
+/// line states the number of tokens forwarded.
 #[derive(Debug, Clone)]
 pub struct ResponseAssembler {
     request_id: RequestId,
-    /// Index of the next token. Invariant: every token below it was passed
-    /// on exactly once.
+    /// Index of the next token. Invariant: every token below it was forwarded exactly once.
     next_index: u32,
 }
 
 impl ResponseAssembler {
-    /// An empty answer of `request_id`.
+    /// Creates an assembler for the response to `request_id`, with no tokens yet.
     pub fn new(request_id: RequestId) -> Self {
         ResponseAssembler { request_id, next_index: 0 }
     }
 
-    /// Index of the token to come next; where another stream must resume.
+    /// Returns the index of the next token, at which another stream must resume.
     pub fn next_index(&self) -> u32 {
         self.next_index
     }
 
-    /// Takes one event of a stream.
+    /// Processes one event of a stream.
     pub fn accept(&mut self, event: DecodeEvent) -> AssemblyStep {
         match event {
             DecodeEvent::Token { request_id, index, text } if request_id == self.request_id => {
--- a/crates/router/src/pipeline/response_feed.rs
+++ b/crates/router/src/pipeline/response_feed.rs
@@ -1,4 +1,4 @@
-//! The tokens of one answer, over as many decode streams as it takes.
+//! The tokens of one response, over one or more decode streams.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -19,18 +19,17 @@
 use crate::events;
 use crate::placement::Placement;
 
-/// Longest silence allowed between two lines of a decode stream. Guards
-/// against a connection that went silent for good: without it the caller
-/// would wait forever; with it the answer goes on from another server.
+/// The longest allowed gap between two lines of a decode stream. Prevents callers from waiting
+/// forever on a connection that stays silent: the response is resumed on another server.
 const STALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same for urgent work: its callers wait two seconds in all, and at
-/// the 48 ms a token may take, ten in a row are missing.
+/// The same for urgent requests, whose callers wait two seconds in total. At the 48 ms allowed per
+/// token, ten tokens in a row are missing by then.
 const URGENT_STALL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often the silence is looked at. One timer serves a whole answer: a
-/// timer for each line costs more than reading the line.
+/// How often a stream is checked for a stall. A single timer serves the whole response, because a
+/// timer per line costs more than reading the line.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What the answer brings next.
+/// The next step of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FeedStep {
     Token(String),
@@ -38,11 +37,11 @@
         tokens: u32,
         finish_reason: String,
     },
-    /// The answer can't be completed.
+    /// The response cannot be completed.
     Truncated(String),
 }
 
-/// One answer in the making. Dropping it cancels what servers still hold.
+/// A response in progress. Dropping it cancels the work that servers still hold.
 pub(crate) struct ResponseFeed<P> {
     run: RequestRun<P>,
     stream: DecodeStream,
@@ -52,7 +51,7 @@
 }
 
 impl<P: Placement> ResponseFeed<P> {
-    /// Starts the answer of `run`; its first decode stream has begun.
+    /// Starts the response to `run` and returns once its first decode stream has started.
     pub async fn start(mut run: RequestRun<P>) -> Result<Self, RunFailure> {
         let stream = run.start(0).await?;
         let assembler = ResponseAssembler::new(run.admitted.request_id.clone());
@@ -60,14 +59,13 @@
         Ok(ResponseFeed { run, stream, assembler, stall_timer, last_line: Instant::now() })
     }
 
-    /// The request this answers.
+    /// Returns the request that is being served.
     pub fn admitted(&self) -> &AdmittedRequest {
         &self.run.admitted
     }
 
-    /// The next step. When a stream breaks midway the answer goes on from
-    /// another server at the very token that is due: the caller notices a
-    /// pause, and nothing it had is computed for nothing.
+    /// Returns the next step. When a stream fails midway, the response resumes on another server at
+    /// the next token: the caller sees only a pause, and no forwarded token is wasted.
     pub async fn next(&mut self) -> FeedStep {
         loop {
             let step = match self.next_line().await {
@@ -80,13 +78,13 @@
                 Err(message) => message,
             };
             if let Err(message) = self.resume(message).await {
-                tracing::warn!(event = events::REQUEST_ABANDONED, request_id = %self.run.admitted.request_id, %message, "answer cut");
+                tracing::warn!(event = events::REQUEST_ABANDONED, request_id = %self.run.admitted.request_id, %message, "response truncated");
                 return FeedStep::Truncated(message);
             }
         }
     }
 
-    /// The next token if its line has arrived already.
+    /// Returns the next token if its line is already buffered.
     pub fn next_buffered(&mut self) -> Option<String> {
         let line = self.stream.reader.buffered_line()?;
         let saved = self.assembler.clone();
@@ -94,7 +92,7 @@
             AssemblyStep::Token(text) => Some(text),
             AssemblyStep::Ignored => None,
             _ => {
-                // Not a token: leave it for `next` to judge.
+                // Not a token: left for `next` to handle.
                 self.assembler = saved;
                 self.stream.reader.put_back(line);
                 None
@@ -102,7 +100,7 @@
         }
     }
 
-    /// The answer is whole and delivered: nothing is to be cancelled.
+    /// Records that the complete response was delivered, so that nothing is cancelled.
     pub fn mark_completed(&mut self, tokens: u32) {
         self.run.cancel.disarm();
         let admitted = &self.run.admitted;
@@ -113,13 +111,13 @@
             tokens,
             attempts = self.run.attempt + 1,
             elapsed_ms = self.run.age().as_millis() as u64,
-            "answer whole"
+            "response completed"
         );
         metrics::counter!("umberglade_completed_total", "priority" => admitted.priority.to_string())
             .increment(1);
     }
 
-    /// Notes that the first token reached the caller.
+    /// Records the time to the first token that reached the caller.
     pub fn record_first_token(&self) {
         let priority = self.run.admitted.priority.to_string();
         metrics::histogram!("umberglade_ttft_seconds", "priority" => priority)
@@ -156,8 +154,7 @@
         }
     }
 
-    /// The step to give out, `None` to read on, or why the stream is of no
-    /// more use.
+    /// Returns the step to yield, `None` to read another line, or why the stream cannot go on.
     fn to_feed_step(&self, step: AssemblyStep) -> Result<Option<FeedStep>, String> {
         match step {
             AssemblyStep::Token(text) => Ok(Some(FeedStep::Token(text))),
@@ -169,8 +166,8 @@
         }
     }
 
-    /// Goes on from another server. The one before is told to stop first,
-    /// so that no two servers work on one request.
+    /// Resumes on another server. The previous server is cancelled first, so that no two servers
+    /// work on one request.
     async fn resume(&mut self, message: String) -> Result<(), String> {
         let slot = std::sync::Arc::clone(&self.stream.slot);
         self.run.record_failure(&slot);
@@ -179,7 +176,7 @@
             return Err(message);
         }
         let resume_from = self.assembler.next_index();
-        tracing::warn!(event = events::ANSWER_RESUMED, request_id = %self.run.admitted.request_id, server = %slot.entry.server, resume_from, %message, "answer goes on from another server");
+        tracing::warn!(event = events::ANSWER_RESUMED, request_id = %self.run.admitted.request_id, server = %slot.entry.server, resume_from, %message, "resuming response on another server");
         metrics::counter!("umberglade_resumed_total").increment(1);
         match self.run.start(resume_from).await {
             Ok(stream) => {
--- a/crates/router/src/pipeline/run.rs
+++ b/crates/router/src/pipeline/run.rs
@@ -1,5 +1,5 @@
-//! One request's attempts: room at both servers, prefill, decode; again
-//! elsewhere when a server fails, within the retry budget and the deadline.
+//! The attempts of one request: claims capacity on both servers, runs prefill and decode, and
+//! retries elsewhere when a server fails, within the retry budget and the deadline.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,10 +20,10 @@
 use crate::events;
 use crate::placement::Placement;
 
-/// Attempts of one request, the first included.
+/// The most attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// A request being worked on. Dropping it cancels what servers still hold.
+/// A request being processed. Dropping it cancels the work that servers still hold.
 pub(crate) struct RequestRun<P> {
     pub daemon: Daemon<P>,
     pub admitted: AdmittedRequest,
@@ -31,13 +31,13 @@
     pub attempt: u32,
     deadline: Instant,
     started: Instant,
-    /// Servers that failed this request.
+    /// Servers that failed or rejected this request.
     pub(super) avoid: SmallVec<[ServerId; 4]>,
     _admission: AdmissionGuard<P>,
 }
 
 impl<P: Placement> RequestRun<P> {
-    /// A run of `admitted`, nothing sent yet.
+    /// Creates a run of `admitted` without sending anything.
     pub fn new(daemon: Daemon<P>, admitted: AdmittedRequest, admission: AdmissionGuard<P>) -> Self {
         daemon.shared.budget.deposit();
         let started = Instant::now();
@@ -53,8 +53,7 @@
         }
     }
 
-    /// Gets a decode stream going at token `resume_from`, trying again
-    /// elsewhere as the budget allows.
+    /// Starts a decode stream at token `resume_from`, retrying elsewhere as the budget allows.
     pub async fn start(&mut self, resume_from: u32) -> Result<DecodeStream, RunFailure> {
         loop {
             let failure = match self.run_attempt(resume_from).await {
@@ -64,12 +63,13 @@
             if !failure.may_retry() || !self.try_next_attempt() {
                 return Err(failure);
             }
-            tracing::info!(event = events::ATTEMPT_RETRIED, request_id = %self.admitted.request_id, attempt = self.attempt, %failure, "trying again elsewhere");
+            tracing::info!(event = events::ATTEMPT_RETRIED, request_id = %self.admitted.request_id, attempt = self.attempt, %failure, "retrying on another server");
             metrics::counter!("umberglade_retries_total").increment(1);
         }
     }
 
-    /// Counts one more attempt, if attempts, time and budget allow it.
+    /// Counts another attempt and returns true, if the attempts, the deadline and the retry budget
+    /// allow one.
     pub fn try_next_attempt(&mut self) -> bool {
         let allowed = self.attempt + 1 < MAX_ATTEMPTS
             && Instant::now() < self.deadline
@@ -90,40 +90,39 @@
         self.decode(pair.decode, export, resume_from).await
     }
 
-    /// Time left until the deadline.
+    /// Returns the time left until the deadline.
     pub fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The room this request waits in.
+    /// Returns the admission queue of the request's model.
     pub fn queue(&self) -> Arc<AdmissionQueue> {
         self.daemon.room(&self.admitted.model)
     }
 
-    /// Time since the request was admitted.
+    /// Returns the time since the request was admitted.
     pub fn age(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Tries no more of `slot` for this request, and none of anyone's for
-    /// a while.
+    /// Excludes the server from this request and ejects it for all requests for a while.
     pub fn record_failure(&mut self, slot: &ServerSlot) {
         slot.failed();
         self.avoid.push(slot.entry.server.clone());
     }
 
-    /// Tries `slot` no more for this request: it is full, not ill.
+    /// Excludes the server from this request only, because it is full but healthy.
     pub fn avoid_server(&mut self, slot: &ServerSlot) {
         self.avoid.push(slot.entry.server.clone());
     }
 
-    /// Forgets which servers were full: they may have room again.
+    /// Makes all excluded servers eligible again, as full ones may have capacity by now.
     pub fn clear_avoided(&mut self) {
         self.avoid.clear();
     }
 }
 
-/// Takes in the load report that rides on an engine's answer.
+/// Records the load report in the headers of an engine's response.
 pub(crate) fn record_load<B>(slot: &ServerSlot, response: &http::Response<B>) {
     let sample = response
         .headers()
--- a/crates/router/src/placement/affinity.rs
+++ b/crates/router/src/placement/affinity.rs
@@ -1,5 +1,5 @@
-//! The policy: each prompt goes where its first token comes soonest, the
-//! cost of computing a shared prefix anew counted in.
+//! The default policy: places each prompt where its first token is expected soonest, including
+//! the cost of recomputing a shared prefix.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,27 +15,27 @@
 use crate::control::ServerLoad;
 use crate::control::ServerSlot;
 
-/// The share of a prefix assumed missing on the servers its hash ranks
-/// first and second when this daemon has not used it there lately: other
-/// daemons rank alike and may have.
+/// The fraction of a prefix assumed to be missing on the servers that its hash ranks first and
+/// second when this daemon has not used it there recently. Other daemons compute the same ranking
+/// and may have used it there.
 const RANKED_MISSING_FRACTION: [f64; 2] = [0.2, 0.5];
-/// The most of a prefix that may be missing where a picky request goes.
+/// The largest missing fraction of a prefix that still counts as cached for
+/// [`PlacementRequest::cached_or_idle_only`].
 const MAX_MISSING_FRACTION: f64 = 0.2;
-/// A prefill server with less than this share of the queue bound waiting
-/// counts as idle.
+/// A prefill server counts as idle while its queue is below this fraction of the queue limit.
 const IDLE_QUEUE_FRACTION: f64 = 0.125;
-/// What leaving the failure domain costs, as a share of the prompt.
+/// The cost of placing outside the failure domain, as a fraction of the prompt.
 const OTHER_DOMAIN_COST: f64 = 0.05;
-/// What leaving the region costs: it is chosen only when nothing else is.
+/// The cost of placing outside the region, so high that another region is the last resort.
 const OTHER_REGION_COST: f64 = 100.0;
-/// Jitter, in tokens, that spreads equal choices of many daemons.
+/// Jitter, in tokens, that spreads the choices of many daemons among equal servers.
 const JITTER_TOKENS: f64 = 64.0;
-/// Assumed slots of a server that has not reported yet.
+/// Slots assumed for a server that has not reported yet.
 const UNKNOWN_SLOTS: u32 = 20;
 
-/// Prefill by least predicted tokens until the first token (queue, own
-/// prompt, uncached prefix); decode by most room; neither beyond its
-/// bound, so that what must wait waits at the daemon, urgent work first.
+/// Chooses the prefill server with the least predicted work before the first token (queue, own
+/// prompt, uncached prefix) and the decode server with the most free capacity. Neither is used
+/// beyond its limit, so requests wait at the daemon, where urgent ones go first.
 #[derive(Debug, Default)]
 pub struct AffinityPlacement {
     prefix_index: PrefixIndex,
@@ -103,7 +103,7 @@
     }
 }
 
-/// Candidates that may be tried and are well, with their indices.
+/// Returns the candidates, with their indices, that the request allows and that are not ejected.
 fn eligible_candidates<'a>(
     candidates: &'a [Arc<ServerSlot>],
     request: &'a PlacementRequest<'_>,
@@ -111,8 +111,8 @@
     candidates.iter().enumerate().filter(|(_, slot)| request.allows(slot) && !slot.is_set_aside())
 }
 
-/// Predicted tokens of work until the prompt is read on `slot`. An urgent
-/// prompt overtakes what waits there, so for it the queue counts little.
+/// Returns the predicted work, in tokens, until the prompt is prefilled on `slot`. An urgent
+/// prompt overtakes the queue there, so the queue counts only a tenth for it.
 fn prefill_cost(
     slot: &ServerSlot,
     load: &ServerLoad,
@@ -129,9 +129,9 @@
     queue + suffix + prefix + distance_tokens + fastrand::f64() * JITTER_TOKENS
 }
 
-/// Whether `slot` should get one more prompt: a slot is free, and for
-/// standard work the queue is under the preset's bound and our own part of
-/// it under our share, which counts without the lag of reports.
+/// Returns whether `slot` can take one more prompt. It needs a free slot and, for standard
+/// requests, a queue below the preset's limit and this daemon's part of it within its share. The
+/// local part is counted without the lag of load reports.
 fn has_prefill_capacity(
     slot: &ServerSlot,
     load: &ServerLoad,
@@ -148,7 +148,7 @@
         < f64::from(request.preset.prefill_queue_tokens) * IDLE_QUEUE_FRACTION
 }
 
-/// Slots free for this request beyond the reserve it must leave.
+/// Returns the free slots beyond the reserve that this request must leave.
 fn free_slots(load: &ServerLoad, request: &PlacementRequest<'_>) -> u32 {
     slot_count(load).saturating_sub(load.running + request.reserve)
 }
@@ -167,9 +167,9 @@
     }
 }
 
-/// The candidates that the prefix's hash ranks first and second
-/// (rendezvous hashing): every daemon ranks alike without a message, and a
-/// server that leaves moves only its own prefixes.
+/// Returns the two candidates ranked highest for the prefix by rendezvous hashing. Every daemon
+/// computes the same ranking without communication, and a departing server remaps only its own
+/// prefixes.
 fn ranked_candidates(
     candidates: &[Arc<ServerSlot>],
     request: &PlacementRequest<'_>,
--- a/crates/router/src/placement/baseline.rs
+++ b/crates/router/src/placement/baseline.rs
@@ -1,4 +1,4 @@
-//! The baselines the policy is measured against.
+//! Baseline policies for comparison with the default policy.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicUsize;
@@ -10,7 +10,7 @@
 use super::select_best;
 use crate::control::ServerSlot;
 
-/// Servers in turn, blind to load and prefix.
+/// Round-robin over the servers, ignoring load and prefix.
 #[derive(Debug, Default)]
 pub struct RoundRobinPlacement {
     next: AtomicUsize,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The server with the fewest requests as best known, blind to prefix.
+/// The server with the fewest known requests, ignoring the prefix.
 #[derive(Debug, Default)]
 pub struct LeastLoadedPlacement;
 
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -1,7 +1,7 @@
-//! Placement: which backend server gets a step of a request.
+//! Placement: chooses the backend server for each stage of a request.
 //!
-//! [`Placement`] is a small trait so that the policy and the baselines
-//! share the pipeline; the daemon is generic over it, no `dyn`.
+//! [`Placement`] is a trait so that the default policy and the baselines share the pipeline. The
+//! daemon is generic over it and does not use `dyn`.
 
 mod affinity;
 mod baseline;
@@ -21,49 +21,47 @@
 use crate::preset::Preset;
 use crate::prompt::PromptShape;
 
-/// Candidates whose scores a decision logs, best first.
+/// How many candidates' scores are logged with a decision, best first.
 pub const MAX_LOGGED_SCORES: usize = 8;
 
-/// A server and the score the policy gave it (higher is better).
+/// A server and its score (higher is better).
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScoredServer {
     pub server: ServerId,
     pub score: f64,
 }
 
-/// What a policy chose, with the best candidates' scores for the log.
+/// The chosen server, with the scores of the best candidates for the log.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// Index into the candidates given.
+    /// Index into the candidates.
     pub index: usize,
     /// At most [`SCORES_LOGGED`], best first.
     pub scores: SmallVec<[ScoredServer; MAX_LOGGED_SCORES]>,
 }
 
-/// What a request needs of a server.
+/// The inputs of a placement decision for one request.
 #[derive(Debug, Clone, Copy)]
 pub struct PlacementRequest<'a> {
     pub shape: &'a PromptShape,
     pub priority: Priority,
     pub preset: &'a Preset,
-    /// The failure domain to be near: the daemon's for prefill, the
-    /// prefill server's for decode.
+    /// The preferred failure domain: the daemon's for prefill, the prefill server's for decode.
     pub domain: &'a str,
     pub region: &'a str,
-    /// Servers this request has tried already.
+    /// Servers that this request has already tried.
     pub avoid: &'a [ServerId],
-    /// Whether it should go only where its prefix is cached or a server
-    /// idles.
+    /// Whether only servers that have the prefix cached or are idle may be chosen.
     pub cached_or_idle_only: bool,
-    /// Slots of each server it must leave free.
+    /// Slots that must stay free on each server.
     pub reserve: u32,
-    /// Prompt tokens this daemon itself may have waiting at a prefill
-    /// server: its share of the preset's bound.
+    /// Prompt tokens that this daemon may have queued at a prefill server: its share of the
+    /// preset's limit.
     pub max_local_queue_tokens: u64,
 }
 
 impl PlacementRequest<'_> {
-    /// True when `slot` may be tried: not tried before.
+    /// Returns true when this request has not tried `slot` yet.
     fn allows(&self, slot: &ServerSlot) -> bool {
         !self.avoid.contains(&slot.entry.server)
     }
@@ -71,27 +69,26 @@
 
 /// A placement policy.
 pub trait Placement: Send + Sync + 'static {
-    /// Picks a prefill server among `candidates`; `None` when none should
-    /// take the request now.
+    /// Chooses a prefill server among `candidates`; `None` when none should take the request now.
     fn prefill(
         &self,
         candidates: &[Arc<ServerSlot>],
         request: &PlacementRequest<'_>,
     ) -> Option<Choice>;
 
-    /// Picks a decode server among `candidates`; `None` when none has room.
+    /// Chooses a decode server among `candidates`; `None` when none has capacity.
     fn decode(
         &self,
         candidates: &[Arc<ServerSlot>],
         request: &PlacementRequest<'_>,
     ) -> Option<Choice>;
 
-    /// Whether a request waits at the daemon until both its servers have
-    /// room, so that no prefill is computed without a place to decode.
+    /// Whether requests wait at the daemon until both servers have capacity, so that no prefill
+    /// is computed without a decode slot.
     fn waits_for_capacity(&self) -> bool;
 }
 
-/// The best of `scored` (index, score), or `None` when it is empty.
+/// Returns the best of `scored` (index, score), or `None` when it is empty.
 fn select_best(candidates: &[Arc<ServerSlot>], mut scored: Vec<(usize, f64)>) -> Option<Choice> {
     scored.sort_by(|left, right| right.1.total_cmp(&left.1));
     let index = scored.first()?.0;
--- a/crates/router/src/placement/prefix_index.rs
+++ b/crates/router/src/placement/prefix_index.rs
@@ -1,4 +1,4 @@
-//! Which servers this daemon lately sent each shared prefix to.
+//! Tracks the servers to which this daemon recently sent each shared prefix.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -8,22 +8,22 @@
 use smallvec::SmallVec;
 use umberglade_wire::ids::ServerId;
 
-/// Prefixes remembered; beyond it those not used within their keep go.
+/// The number of prefixes above which those not used within the retention time are evicted.
 const MAX_PREFIXES: usize = 4096;
 
-/// A server and when it last computed or reused the prefix.
+/// A server and the time at which it last computed or reused the prefix.
 type PrefixHolder = (ServerId, Instant);
 
-/// The memory: prefix digest → servers that should still have it cached.
+/// Maps each prefix digest to the servers that should still have it cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     holders: Mutex<HashMap<u64, SmallVec<[PrefixHolder; 4]>>>,
 }
 
 impl PrefixIndex {
-    /// Servers that used `prefix_hash` within `keep`.
+    /// Returns the servers that used `prefix_hash` within `retention`.
     pub fn holders(&self, prefix_hash: u64, retention: Duration) -> SmallVec<[ServerId; 4]> {
-        let holders = self.holders.lock().expect("prefix memory lock");
+        let holders = self.holders.lock().expect("prefix index lock");
         let Some(entries) = holders.get(&prefix_hash) else {
             return SmallVec::new();
         };
@@ -34,11 +34,10 @@
             .collect()
     }
 
-    /// Notes that `server` uses `prefix_hash` now; forgets what is older
-    /// than `keep`.
+    /// Records that `server` uses `prefix_hash` now and removes entries older than `retention`.
     pub fn record(&self, prefix_hash: u64, server: &str, retention: Duration) {
         let now = Instant::now();
-        let mut holders = self.holders.lock().expect("prefix memory lock");
+        let mut holders = self.holders.lock().expect("prefix index lock");
         let entries = holders.entry(prefix_hash).or_default();
         entries.retain(|(holder, used)| holder != server && now.duration_since(*used) < retention);
         entries.push((server.to_owned(), now));
--- a/crates/router/tests/admission_queue.rs
+++ b/crates/router/tests/admission_queue.rs
@@ -1,4 +1,4 @@
-//! The waiting room: who goes first, who is refused and when.
+//! The admission queue: order of placement, and rejections.
 
 use std::sync::Arc;
 use std::sync::Mutex;
@@ -13,7 +13,7 @@
 
 const MAX_WAIT: Duration = Duration::from_millis(400);
 
-/// Room for so many, taken one by one.
+/// Server capacity: the number of free slots, claimed one at a time.
 struct FreeSlots(AtomicU32);
 
 impl FreeSlots {
@@ -29,9 +29,8 @@
     smol::spawn(task)
 }
 
-/// At a quiet site requests come one by one and each finds room at once.
-/// Newcomers who meet others for a moment must not be refused for
-/// "a low rate": the rate was low because arrivals were.
+/// At a site with little traffic, requests arrive one by one and are placed at once. A few that
+/// queue briefly must not be rejected for a low placement rate: it is low because arrivals are.
 #[test]
 fn low_arrival_rate_rejects_nothing() {
     smol::block_on(async {
@@ -59,8 +58,8 @@
     });
 }
 
-/// Twenty long prompts wait with no room; then a lookup comes, and room
-/// for one. The lookup gets it, although it came last.
+/// Twenty standard requests are queued without capacity, then an urgent one arrives and capacity
+/// for one becomes free. The urgent request must get it, although it arrived last.
 #[test]
 fn urgent_requests_are_placed_first() {
     smol::block_on(async {
@@ -85,8 +84,8 @@
     });
 }
 
-/// Lookups take every place as it comes free, without end. A long prompt
-/// that waits must in time be offered the room kept for urgent work.
+/// Urgent requests continuously take all free capacity. A queued standard request must eventually
+/// be offered the capacity reserved for urgent ones.
 #[test]
 fn standard_requests_are_not_starved() {
     smol::block_on(async {
@@ -104,14 +103,13 @@
             queue.acquire(Priority::Urgent, MAX_WAIT, |_| Some(())).await.unwrap();
             smol::Timer::after(Duration::from_millis(5)).await;
         }
-        assert!(long.is_finished(), "passed over for good");
+        assert!(long.is_finished(), "standard request still not placed after 8 s");
         assert!(long.await.is_ok());
     });
 }
 
-/// Past saturation the line grows longer than anyone's patience. A
-/// newcomer is refused at once, not after waiting, and told a time to come
-/// back that is not sooner than its wait would have been.
+/// Under overload the predicted wait exceeds the maximum wait. A new request must be rejected at
+/// once rather than after waiting, with a retry time no sooner than its wait would have been.
 #[test]
 fn rejects_at_once_when_predicted_wait_exceeds_max_wait() {
     smol::block_on(async {
@@ -133,7 +131,11 @@
         let started_at = Instant::now();
         let rejection =
             queue.acquire(Priority::Urgent, MAX_WAIT, |_| slots.take()).await.unwrap_err();
-        assert!(started_at.elapsed() < MAX_WAIT / 2, "kept waiting {:?}", started_at.elapsed());
+        assert!(
+            started_at.elapsed() < MAX_WAIT / 2,
+            "rejected only after {:?}",
+            started_at.elapsed()
+        );
         assert!(rejection.retry_after_s >= 1);
         drop(waiting);
     });
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -1,5 +1,4 @@
-//! The placement policy's decisions, one table of situations each for
-//! prefill and decode.
+//! Decisions of the placement policy, with one table of cases each for prefill and decode.
 
 use std::sync::Arc;
 
@@ -15,7 +14,7 @@
 use umberglade_wire::platform::InstanceEntry;
 use umberglade_wire::platform::InstanceState;
 
-/// A candidate: where it is and what it last reported.
+/// A candidate server: its location, last reported load and health.
 #[derive(Clone, Copy)]
 struct Candidate {
     domain: &'static str,
@@ -59,7 +58,7 @@
     Preset::from_toml(include_str!("../../../presets/ordinary.toml")).unwrap()
 }
 
-/// One situation and the server that must be chosen; `None` to wait.
+/// The candidates and the index of the expected choice; `None` if the request must wait.
 struct PlacementCase {
     name: &'static str,
     candidates: Vec<Candidate>,
@@ -108,27 +107,27 @@
     let running = |running| Candidate { running, ..IDLE };
     check(
         vec![
-            case("the emptier", vec![running(15), running(5)], Some(1)),
-            case("the nearer of two alike", vec![far, IDLE], Some(1)),
-            case("a far one when the near is full", vec![running(18), far], Some(1)),
-            case("its own region, though fuller", vec![other_region, running(17)], Some(1)),
-            case("another region at last", vec![other_region, running(20)], Some(0)),
+            case("fewer requests", vec![running(15), running(5)], Some(1)),
+            case("equal load: nearer server", vec![far, IDLE], Some(1)),
+            case("near server full: far server", vec![running(18), far], Some(1)),
+            case("same region despite more load", vec![other_region, running(17)], Some(1)),
+            case("other region as last resort", vec![other_region, running(20)], Some(0)),
             case("none: only the reserve is left", vec![running(18), running(19)], None),
             PlacementCase {
                 priority: Priority::Urgent,
                 reserve: 0,
-                ..case("urgent work takes the reserve", vec![running(20), running(19)], Some(1))
+                ..case("urgent request uses reserve", vec![running(20), running(19)], Some(1))
             },
             case(
-                "not one set aside",
+                "ejected server is skipped",
                 vec![Candidate { failed: true, ..IDLE }, running(9)],
                 Some(1),
             ),
             PlacementCase {
                 avoid: &["s0"],
-                ..case("not one tried before", vec![IDLE, running(9)], Some(1))
+                ..case("tried server is skipped", vec![IDLE, running(9)], Some(1))
             },
-            case("nowhere to go", vec![], None),
+            case("no candidates", vec![], None),
         ],
         false,
     );
@@ -139,20 +138,20 @@
     let queued = |queued_tokens| Candidate { queued_tokens, ..IDLE };
     check(
         vec![
-            case("the shorter queue", vec![queued(9000), queued(2000)], Some(1)),
-            case("none: every queue at its bound", vec![queued(16_000), queued(20_000)], None),
+            case("shorter queue", vec![queued(9000), queued(2000)], Some(1)),
+            case("none: every queue at its limit", vec![queued(16_000), queued(20_000)], None),
             PlacementCase {
                 priority: Priority::Urgent,
                 reserve: 0,
-                ..case("urgent work overtakes", vec![queued(50_000), queued(20_000)], Some(1))
+                ..case("urgent ignores limit", vec![queued(50_000), queued(20_000)], Some(1))
             },
             case(
-                "a near one before a far one alike",
+                "equal load: server in the same domain",
                 vec![Candidate { domain: "hall-b", ..IDLE }, IDLE],
                 Some(1),
             ),
             case(
-                "a far one before a long queue",
+                "server in another domain over a long queue",
                 vec![queued(9000), Candidate { domain: "hall-b", ..IDLE }],
                 Some(1),
             ),
@@ -161,9 +160,8 @@
     );
 }
 
-/// Briefs behind the same guidelines come one after the other. They must
-/// go back to the server that has the guidelines cached, also when it has
-/// some queue, and elsewhere once its queue is at the bound.
+/// Prompts with a shared prefix arrive one after another. They must return to the server that has
+/// the prefix cached, even when it has some queue, and go elsewhere once its queue is at the limit.
 #[test]
 fn shared_prefix_is_placed_on_its_cached_server() {
     let preset = preset();
@@ -190,5 +188,8 @@
     assert_ne!(policy.prefill(&slots, &request).unwrap().index, first);
     let restricted = PlacementRequest { cached_or_idle_only: true, ..request };
     let choice = policy.prefill(&slots, &restricted).map(|choice| choice.index);
-    assert!(choice.is_some_and(|index| index != first), "an idle server will do: {choice:?}");
+    assert!(
+        choice.is_some_and(|index| index != first),
+        "another, idle server must be chosen: {choice:?}"
+    );
 }
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -1,6 +1,5 @@
-//! Properties that must hold whatever the order of things: one answer put
-//! together from any lines, presets that never revert, retries within
-//! their budget.
+//! Properties that hold for every order of events: response assembly from arbitrary lines, presets
+//! that never revert, and retries within their budget.
 
 use proptest::prelude::*;
 use umberglade_router::admission::RetryBudget;
@@ -14,7 +13,7 @@
 
 const REQUEST_ID: &str = "entry-1-a-1";
 
-/// One line of a stream, as an engine may send it in any order.
+/// A stream line, which an engine may send in any order.
 #[derive(Debug, Clone)]
 enum Line {
     Token { own: bool, index: u32 },
@@ -49,8 +48,8 @@
     }
 }
 
-/// Feeds `lines`, starting a new stream (at the token due) whenever one
-/// breaks, until the answer is done; the text and whether it was done.
+/// Feeds `lines` to an assembler, treating the lines after a failure as a new stream, until the
+/// response is complete. Returns the tokens and, if complete, the stated token count.
 fn assemble(lines: &[Line]) -> (Vec<String>, Option<u32>) {
     let mut assembler = ResponseAssembler::new(REQUEST_ID.to_owned());
     let mut text = Vec::new();
@@ -65,10 +64,9 @@
 }
 
 proptest! {
-    /// Engines' lines come crossed with another organisation's, twice,
-    /// late and out of order, over any number of streams. What is passed on
-    /// is always the own answer's tokens 0, 1, 2, … each once, and it is
-    /// called done only when all of them were passed on.
+    /// Lines arrive mixed with another organisation's, repeated, late and out of order, over any
+    /// number of streams. Only the request's own tokens 0, 1, 2, … may be forwarded, each once,
+    /// and the response may be complete only when all of them were forwarded.
     #[test]
     fn response_contains_only_its_own_tokens_in_order(lines in prop::collection::vec(line(), 0..80)) {
         let (text, done) = assemble(&lines);
@@ -80,9 +78,9 @@
         }
     }
 
-    /// The rows of the preset in force are read in any order, again and
-    /// again, from copies of the store that lag or went back. The fence a
-    /// daemon holds never falls, and the preset always belongs to it.
+    /// The rows of the active preset are read repeatedly and in any order, from store replicas
+    /// that lag or were rolled back. The daemon's fence must never decrease, and its preset must
+    /// always match the fence.
     #[test]
     fn preset_never_reverts(versions in prop::collection::vec(1u64..20, 1..60)) {
         let mut snapshot = ControlSnapshot::default();
@@ -95,8 +93,8 @@
         }
     }
 
-    /// Requests and retries come in any mixture. Retries granted never
-    /// exceed a fifth of the requests beyond what was saved at the start.
+    /// For every mix of requests and retries, the granted retries never exceed the initial balance
+    /// plus a fifth of the requests.
     #[test]
     fn retries_stay_within_budget(calls in prop::collection::vec(any::<bool>(), 0..2000)) {
         let budget = RetryBudget::default();
--- a/crates/router/tests/server_counts.rs
+++ b/crates/router/tests/server_counts.rs
@@ -1,4 +1,4 @@
-//! What a daemon counts at its servers, over changes of the instance list.
+//! A daemon's counters for its servers across changes of the instance list.
 
 use umberglade_router::control::ControlSnapshot;
 use umberglade_wire::engine::EngineRole;
@@ -23,9 +23,9 @@
     InstanceList { generation: 1, delta, instances }
 }
 
-/// A server's entry changes (it is leaving) while a request runs there.
-/// The request ends after: the count must fall to zero on the new entry.
-/// It used to stay at one for good, since the new entry had copied it.
+/// A server's entry changes (to leaving) while a request runs there, and the request ends after.
+/// The count on the new entry must fall to zero; if the entry copied the count instead of sharing
+/// it, it would stay at one.
 #[test]
 fn in_flight_count_survives_entry_change() {
     let mut snapshot = ControlSnapshot::default();
@@ -38,20 +38,20 @@
     assert_eq!(snapshot.servers[0].queued_tokens(), 0);
 }
 
-/// One change of the instance list and the servers that take work after.
+/// A change of the instance list and the servers available afterwards.
 struct ChangeCase {
     name: &'static str,
     change: InstanceList,
     available: &'static [&'static str],
 }
 
-/// Servers leave, go and come through changes of the list; only live ones
-/// take new work, and a whole list replaces what was.
+/// Servers join, start leaving and disappear through changes of the list. Only live ones may get
+/// new work, and a full list replaces the previous one.
 #[test]
 fn only_live_servers_are_candidates() {
     let cases = [
         ChangeCase {
-            name: "whole list",
+            name: "full list",
             change: list(
                 false,
                 vec![entry("a", InstanceState::Live), entry("b", InstanceState::Live)],
@@ -59,13 +59,13 @@
             available: &["a", "b"],
         },
         ChangeCase {
-            name: "b leaves",
+            name: "b is leaving",
             change: list(true, vec![entry("b", InstanceState::Leaving)]),
             available: &["a"],
         },
         ChangeCase { name: "nothing changed", change: list(true, Vec::new()), available: &["a"] },
         ChangeCase {
-            name: "b gone, c comes",
+            name: "b gone, c joins",
             change: list(
                 true,
                 vec![entry("b", InstanceState::Gone), entry("c", InstanceState::Live)],
@@ -73,7 +73,7 @@
             available: &["a", "c"],
         },
         ChangeCase {
-            name: "whole list again",
+            name: "second full list",
             change: list(false, vec![entry("c", InstanceState::Live)]),
             available: &["c"],
         },
@@ -87,8 +87,8 @@
     }
 }
 
-/// Reports lag and hold our own requests too. What other daemons have
-/// there is told from our own, and our own is counted without lag.
+/// Load reports lag and include the daemon's own requests. The local part must be separated from
+/// that of other daemons and be counted without lag.
 #[test]
 fn load_report_is_corrected_by_local_count() {
     let mut snapshot = ControlSnapshot::default();
@@ -102,5 +102,5 @@
     assert_eq!(slot.load().queued_tokens, 60);
     drop(guards);
     drop(more);
-    assert_eq!(slot.load().running, 5, "what the others have is left");
+    assert_eq!(slot.load().running, 5, "load of the other daemons remains");
 }
