--- a/crates/router/src/pipeline/cancel.rs
+++ b/crates/router/src/pipeline/cancel.rs
@@ -11,17 +11,17 @@
 use umberglade_wire::ids::RequestId;
 use umberglade_wire::pool;
 
-/// Time-out of one cancel order sent after the request has ended.
+/// Timeout of one cancel order sent after the request has ended.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Attempts at such a cancel, after which the engine's own deadline ends the work.
 const CANCEL_ATTEMPTS: u32 = 3;
-/// Time-out of a cancel order that the request waits for.
+/// Timeout of a cancel order that the request waits for.
 const CONFIRM_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Sends a cancel order to every registered server when dropped while armed.
 ///
 /// Prevents engines from holding memory for a caller that has disconnected. Whatever ends the
-/// request early (a closed connection drops the handler, a time-out, an error), this drop runs and
+/// request early (a closed connection drops the handler, a timeout, an error), this drop runs and
 /// the servers free what they hold. Disarmed only once the response is complete.
 #[derive(Debug)]
 pub struct CancelOnDrop {
--- a/crates/router/src/pipeline/claim.rs
+++ b/crates/router/src/pipeline/claim.rs
@@ -155,8 +155,8 @@
     }
 
     /// Returns how long the request may wait for capacity and still meet its class's first-token
-    /// target, less its predicted prefill time including the queue at the server. Later attempts
-    /// wait up to a fixed time, because a late response is better than none.
+    /// target. Its predicted prefill time, including the queue at the server, is subtracted. Later
+    /// attempts wait for a fixed time, because a late response is better than none.
     fn max_wait(&self) -> Duration {
         if self.attempt > 0 {
             return self.remaining().min(MAX_RETRY_WAIT);
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -29,7 +29,7 @@
 use crate::front::RETRY_AFTER_S;
 use crate::placement::Placement;
 
-/// Time-out for the head of a decode response, which is sent after the KV cache was fetched.
+/// Timeout for the head of a decode response, which is sent after the KV cache was fetched.
 const DECODE_START_TIMEOUT: Duration = Duration::from_secs(3);
 /// Decode servers tried for one export without waiting for capacity.
 const MAX_DECODE_ATTEMPTS: usize = 3;
--- a/crates/router/src/pipeline/mod.rs
+++ b/crates/router/src/pipeline/mod.rs
@@ -64,10 +64,6 @@
             Ok(feed) => feed,
             Err(failure) => return failure.rejection(),
         };
-        if is_streamed {
-            relay::stream_response(feed)
-        } else {
-            relay::complete_response(feed).await
-        }
+        if is_streamed { relay::stream_response(feed) } else { relay::collect_response(feed).await }
     }
 }
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -32,9 +32,9 @@
 use crate::placement::PlacementRequest;
 use crate::prompt::text_shape;
 
-/// Time-out of one call that may run only once.
+/// Timeout of one call that may run only once.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time-out of one lookup attempt. Short because the caller is on the phone.
+/// Timeout of one lookup attempt. Short because the caller is on the phone.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// The most servers tried for one call or lookup.
 const MAX_ATTEMPTS: usize = 3;
--- a/crates/router/src/pipeline/relay.rs
+++ b/crates/router/src/pipeline/relay.rs
@@ -81,7 +81,7 @@
 }
 
 /// Collects all tokens and returns the response in one piece.
-pub(crate) async fn complete_response<P: Placement>(
+pub(crate) async fn collect_response<P: Placement>(
     mut feed: ResponseFeed<P>,
 ) -> Response<ReplyBody> {
     let mut text = String::new();
