--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -68,7 +68,7 @@
     /// number of streams. Only the request's own tokens 0, 1, 2, … may be forwarded, each once,
     /// and the response may be complete only when all of them were forwarded.
     #[test]
-    fn response_contains_only_its_own_tokens_in_order(lines in prop::collection::vec(line(), 0..80)) {
+    fn response_contains_only_own_tokens_in_order(lines in prop::collection::vec(line(), 0..80)) {
         let (text, done) = assemble(&lines);
         for (index, token) in text.iter().enumerate() {
             prop_assert_eq!(token, &format!("own{index} "));
