--- a/crates/router/src/front/completion.rs
+++ b/crates/router/src/front/completion.rs
@@ -1,4 +1,4 @@
-//! Completion requests: parsed, classified and admitted.
+//! Parses, classifies and admits completion requests.
 
 use http::Request;
 use http::Response;
@@ -12,23 +12,23 @@
 use umberglade_wire::server::read_body;
 
 use super::bad_request;
-use super::not_now;
+use super::unavailable;
 use crate::daemon::AdmissionGuard;
 use crate::daemon::Daemon;
 use crate::events;
-use crate::pipeline::Admitted;
+use crate::pipeline::AdmittedRequest;
 use crate::placement::Placement;
 use crate::prompt;
 use crate::prompt::PromptShape;
 
-/// Which caller route a request came by.
+/// The API route of a completion request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionKind {
     Chat,
     Text,
 }
 
-/// A completion as the caller asked for it.
+/// A completion request with its parameters.
 struct ParsedCompletion {
     model: String,
     shape: PromptShape,
@@ -55,10 +55,10 @@
         organisation: OrganisationId,
         parsed: ParsedCompletion,
         kind: CompletionKind,
-    ) -> Result<(Admitted, AdmissionGuard<P>), Response<ReplyBody>> {
+    ) -> Result<(AdmittedRequest, AdmissionGuard<P>), Response<ReplyBody>> {
         let snapshot = self.shared.control.current();
         let Some(preset) = snapshot.preset.clone() else {
-            return Err(not_now("no_preset", "no preset in force yet"));
+            return Err(unavailable("no_preset", "no preset in force yet"));
         };
         let guard = self.admit(&preset)?;
         let is_short = parsed.shape.tokens <= preset.urgent_prompt_tokens;
@@ -75,7 +75,7 @@
             fence = snapshot.fence,
             "request admitted"
         );
-        let admitted = Admitted {
+        let admitted = AdmittedRequest {
             request_id,
             organisation,
             model: parsed.model,
--- a/crates/router/src/front/service.rs
+++ b/crates/router/src/front/service.rs
@@ -1,5 +1,5 @@
-//! Calls to plain services: `POST /v1/services/{service}/call` runs at most
-//! once, `GET /v1/services/{service}/lookup/{what}` may be repeated.
+//! Calls to plain services. `POST /v1/services/{service}/call` runs at most once;
+//! `GET /v1/services/{service}/lookup/{what}` may be retried.
 
 use http::Method;
 use http::Request;
@@ -10,14 +10,14 @@
 
 use super::bad_request;
 use super::not_found;
-use super::not_now;
+use super::unavailable;
 use crate::daemon::Daemon;
 use crate::pipeline::ServiceCall;
 use crate::placement::Placement;
 
-/// The header that names a non-idempotent action.
+/// The header that identifies a non-idempotent action.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
-/// Longest idempotency key accepted.
+/// The length limit of idempotency keys.
 const MAX_KEY_BYTES: usize = 100;
 
 impl<P: Placement> Daemon<P> {
@@ -27,7 +27,7 @@
     ) -> Result<Response<ReplyBody>, Response<ReplyBody>> {
         let organisation = self.authenticate(&request)?;
         let Some(preset) = self.shared.control.current().preset.clone() else {
-            return Err(not_now("no_preset", "no preset in force yet"));
+            return Err(unavailable("no_preset", "no preset in force yet"));
         };
         let path = request.uri().path().to_owned();
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
@@ -41,7 +41,7 @@
                     .map_err(|error| bad_request(&format!("request body: {error}")))?;
                 let _guard = self.admit(&preset)?;
                 let call = ServiceCall { organisation, service, idempotency_key, payload };
-                Ok(self.call_once(call).await)
+                Ok(self.call_at_most_once(call).await)
             }
             (&Method::GET, ["v1", "services", service, "lookup", what]) => {
                 let _guard = self.admit(&preset)?;
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -1,12 +1,11 @@
-//! The placement policy's decisions, one table of situations each for
-//! prefill and decode.
+//! Decisions of the placement policy, with one table of cases each for prefill and decode.
 
 use std::sync::Arc;
 
 use umberglade_router::control::ServerSlot;
 use umberglade_router::placement::AffinityPlacement;
 use umberglade_router::placement::Placement;
-use umberglade_router::placement::PlacementNeed;
+use umberglade_router::placement::PlacementRequest;
 use umberglade_router::preset::Preset;
 use umberglade_router::prompt::PromptShape;
 use umberglade_wire::engine::EngineRole;
@@ -15,7 +14,7 @@
 use umberglade_wire::platform::InstanceEntry;
 use umberglade_wire::platform::InstanceState;
 
-/// A candidate: where it is and what it last reported.
+/// A candidate server: its location, last reported load and health.
 #[derive(Clone, Copy)]
 struct Candidate {
     domain: &'static str,
@@ -59,7 +58,7 @@
     Preset::from_toml(include_str!("../../../presets/ordinary.toml")).unwrap()
 }
 
-/// One situation and the server that must be chosen; `None` to wait.
+/// The candidates and the index of the expected choice; `None` if the request must wait.
 struct PlacementCase {
     name: &'static str,
     candidates: Vec<Candidate>,
@@ -80,76 +79,79 @@
     for case in cases {
         let slots = slots(&case.candidates);
         let avoid: Vec<String> = case.avoid.iter().map(|name| (*name).to_owned()).collect();
-        let need = PlacementNeed {
+        let request = PlacementRequest {
             shape: &shape,
             priority: case.priority,
             preset: &preset,
             domain: "hall-a",
             region: "north",
             avoid: &avoid,
-            picky: false,
+            cached_or_idle_only: false,
             reserve: case.reserve,
-            own_queue_tokens: 16_000,
+            max_local_queue_tokens: 16_000,
         };
         let policy = AffinityPlacement::default();
-        let choice =
-            if is_prefill { policy.prefill(&slots, &need) } else { policy.decode(&slots, &need) };
+        let choice = if is_prefill {
+            policy.prefill(&slots, &request)
+        } else {
+            policy.decode(&slots, &request)
+        };
         assert_eq!(choice.map(|choice| choice.index), case.chosen, "{}", case.name);
     }
 }
 
 #[test]
-fn decode_goes_where_there_is_room_nearby() {
+fn decode_prefers_free_servers_nearby() {
     let far = Candidate { domain: "hall-b", ..IDLE };
     let other_region = Candidate { region: "south", ..IDLE };
     let running = |running| Candidate { running, ..IDLE };
     check(
         vec![
-            case("the emptier", vec![running(15), running(5)], Some(1)),
-            case("the nearer of two alike", vec![far, IDLE], Some(1)),
-            case("a far one when the near is full", vec![running(18), far], Some(1)),
-            case("its own region, though fuller", vec![other_region, running(17)], Some(1)),
-            case("another region at last", vec![other_region, running(20)], Some(0)),
+            case("fewer requests", vec![running(15), running(5)], Some(1)),
+            case("equal load: nearer server", vec![far, IDLE], Some(1)),
+            case("near server full: far server", vec![running(18), far], Some(1)),
+            case("same region despite more load", vec![other_region, running(17)], Some(1)),
+            case("other region as last resort", vec![other_region, running(20)], Some(0)),
             case("none: only the reserve is left", vec![running(18), running(19)], None),
             PlacementCase {
                 priority: Priority::Urgent,
                 reserve: 0,
-                ..case("urgent work takes the reserve", vec![running(20), running(19)], Some(1))
+                ..case("urgent request uses reserve", vec![running(20), running(19)], Some(1))
             },
             case(
-                "not one set aside",
+                "ejected server is skipped",
                 vec![Candidate { failed: true, ..IDLE }, running(9)],
                 Some(1),
             ),
             PlacementCase {
                 avoid: &["s0"],
-                ..case("not one tried before", vec![IDLE, running(9)], Some(1))
+                ..case("tried server is skipped", vec![IDLE, running(9)], Some(1))
             },
-            case("nowhere to go", vec![], None),
+            case("no candidates", vec![], None),
         ],
         false,
     );
 }
 
 #[test]
-fn prefill_goes_where_the_prompt_is_read_soonest() {
+fn prefill_prefers_earliest_completion() {
     let queued = |queued_tokens| Candidate { queued_tokens, ..IDLE };
     check(
         vec![
-            case("the shorter queue", vec![queued(9000), queued(2000)], Some(1)),
-            case("none: every queue at its bound", vec![queued(16_000), queued(20_000)], None),
+            case("shorter queue", vec![queued(9000), queued(2000)], Some(1)),
+            case("none: every queue at its limit", vec![queued(16_000), queued(20_000)], None),
             PlacementCase {
                 priority: Priority::Urgent,
                 reserve: 0,
-                ..case("urgent work overtakes", vec![queued(50_000), queued(20_000)], Some(1))
+                ..case("urgent ignores limit", vec![queued(50_000), queued(20_000)], Some(1))
             },
             case(
-                "a near one before a far one alike",
+                "equal load: server in the same domain",
                 vec![Candidate { domain: "hall-b", ..IDLE }, IDLE],
                 Some(1),
             ),
             case(
-                "a far one before a long queue",
+                "server in another domain over a long queue",
                 vec![queued(9000), Candidate { domain: "hall-b", ..IDLE }],
                 Some(1),
             ),
@@ -158,34 +160,36 @@
     );
 }
 
-/// Briefs behind the same guidelines come one after the other. They must
-/// go back to the server that has the guidelines cached, also when it has
-/// some queue, and elsewhere once its queue is at the bound.
+/// Prompts with a shared prefix arrive one after another. They must return to the server that has
+/// the prefix cached, even when it has some queue, and go elsewhere once its queue is at the limit.
 #[test]
-fn a_shared_prefix_returns_to_the_server_that_has_it() {
+fn shared_prefix_is_placed_on_its_cached_server() {
     let preset = preset();
     let shape = PromptShape { tokens: 4000, prefix_hash: 99, prefix_tokens: 1800, digest: 1 };
-    let need = PlacementNeed {
+    let request = PlacementRequest {
         shape: &shape,
         priority: Priority::Standard,
         preset: &preset,
         domain: "hall-a",
         region: "north",
         avoid: &[],
-        picky: false,
+        cached_or_idle_only: false,
         reserve: 2,
-        own_queue_tokens: 16_000,
+        max_local_queue_tokens: 16_000,
     };
     let policy = AffinityPlacement::default();
     let slots = slots(&[IDLE; 6]);
-    let first = policy.prefill(&slots, &need).unwrap().index;
+    let first = policy.prefill(&slots, &request).unwrap().index;
     let _waiting = slots[first].begin(6000);
     for _ in 0..10 {
-        assert_eq!(policy.prefill(&slots, &need).unwrap().index, first);
+        assert_eq!(policy.prefill(&slots, &request).unwrap().index, first);
     }
     slots[first].observe(LoadSample { running: 9, slots: 20, queued_tokens: 20_000 });
-    assert_ne!(policy.prefill(&slots, &need).unwrap().index, first);
-    let picky = PlacementNeed { picky: true, ..need };
-    let choice = policy.prefill(&slots, &picky).map(|choice| choice.index);
-    assert!(choice.is_some_and(|index| index != first), "an idle server will do: {choice:?}");
+    assert_ne!(policy.prefill(&slots, &request).unwrap().index, first);
+    let restricted = PlacementRequest { cached_or_idle_only: true, ..request };
+    let choice = policy.prefill(&slots, &restricted).map(|choice| choice.index);
+    assert!(
+        choice.is_some_and(|index| index != first),
+        "another, idle server must be chosen: {choice:?}"
+    );
 }
--- a/crates/router/tests/properties.rs
+++ b/crates/router/tests/properties.rs
@@ -1,20 +1,19 @@
-//! Properties that must hold whatever the order of things: one answer put
-//! together from any lines, presets that never revert, retries within
-//! their budget.
+//! Properties that hold for every order of events: response assembly from arbitrary lines, presets
+//! that never revert, and retries within their budget.
 
 use proptest::prelude::*;
 use umberglade_router::admission::RetryBudget;
 use umberglade_router::control::ControlSnapshot;
-use umberglade_router::pipeline::AnswerAssembler;
-use umberglade_router::pipeline::AnswerStep;
+use umberglade_router::pipeline::AssemblyStep;
+use umberglade_router::pipeline::ResponseAssembler;
 use umberglade_wire::engine::DecodeEvent;
 use umberglade_wire::platform::ACTIVE_KEY;
 use umberglade_wire::platform::ActivePreset;
 use umberglade_wire::platform::Row;
 
-const OWN: &str = "entry-1-a-1";
+const REQUEST_ID: &str = "entry-1-a-1";
 
-/// One line of a stream, as an engine may send it in any order.
+/// A stream line, which an engine may send in any order.
 #[derive(Debug, Clone)]
 enum Line {
     Token { own: bool, index: u32 },
@@ -31,7 +30,7 @@
 }
 
 fn event(line: &Line) -> DecodeEvent {
-    let id = |own: &bool| if *own { OWN.to_owned() } else { "entry-2-b-1".to_owned() };
+    let id = |own: &bool| if *own { REQUEST_ID.to_owned() } else { "entry-2-b-1".to_owned() };
     match line {
         Line::Token { own, index } => {
             let owner = if *own { "own" } else { "other" };
@@ -49,28 +48,27 @@
     }
 }
 
-/// Feeds `lines`, starting a new stream (at the token due) whenever one
-/// breaks, until the answer is done; the text and whether it was done.
+/// Feeds `lines` to an assembler, treating the lines after a failure as a new stream, until the
+/// response is complete. Returns the tokens and, if complete, the stated token count.
 fn assemble(lines: &[Line]) -> (Vec<String>, Option<u32>) {
-    let mut assembler = AnswerAssembler::new(OWN.to_owned());
+    let mut assembler = ResponseAssembler::new(REQUEST_ID.to_owned());
     let mut text = Vec::new();
     for line in lines {
         match assembler.accept(event(line)) {
-            AnswerStep::Token(token) => text.push(token),
-            AnswerStep::Done { tokens, .. } => return (text, Some(tokens)),
-            AnswerStep::Ignored | AnswerStep::Broken(_) => {}
+            AssemblyStep::Token(token) => text.push(token),
+            AssemblyStep::Done { tokens, .. } => return (text, Some(tokens)),
+            AssemblyStep::Ignored | AssemblyStep::Broken(_) => {}
         }
     }
     (text, None)
 }
 
 proptest! {
-    /// Engines' lines come crossed with another organisation's, twice,
-    /// late and out of order, over any number of streams. What is passed on
-    /// is always the own answer's tokens 0, 1, 2, … each once, and it is
-    /// called done only when all of them were passed on.
+    /// Lines arrive mixed with another organisation's, repeated, late and out of order, over any
+    /// number of streams. Only the request's own tokens 0, 1, 2, … may be forwarded, each once,
+    /// and the response may be complete only when all of them were forwarded.
     #[test]
-    fn an_answer_is_always_its_own_prefix(lines in prop::collection::vec(line(), 0..80)) {
+    fn response_contains_only_own_tokens_in_order(lines in prop::collection::vec(line(), 0..80)) {
         let (text, done) = assemble(&lines);
         for (index, token) in text.iter().enumerate() {
             prop_assert_eq!(token, &format!("own{index} "));
@@ -80,11 +78,11 @@
         }
     }
 
-    /// The rows of the preset in force are read in any order, again and
-    /// again, from copies of the store that lag or went back. The fence a
-    /// daemon holds never falls, and the preset always belongs to it.
+    /// The rows of the active preset are read repeatedly and in any order, from store replicas
+    /// that lag or were rolled back. The daemon's fence must never decrease, and its preset must
+    /// always match the fence.
     #[test]
-    fn a_preset_never_reverts(versions in prop::collection::vec(1u64..20, 1..60)) {
+    fn preset_never_reverts(versions in prop::collection::vec(1u64..20, 1..60)) {
         let mut snapshot = ControlSnapshot::default();
         let mut highest = 0;
         for version in versions {
@@ -95,18 +93,18 @@
         }
     }
 
-    /// Requests and retries come in any mixture. Retries granted never
-    /// exceed a fifth of the requests beyond what was saved at the start.
+    /// For every mix of requests and retries, the granted retries never exceed the initial balance
+    /// plus a fifth of the requests.
     #[test]
-    fn retries_stay_within_their_budget(calls in prop::collection::vec(any::<bool>(), 0..2000)) {
+    fn retries_stay_within_budget(calls in prop::collection::vec(any::<bool>(), 0..2000)) {
         let budget = RetryBudget::default();
         let mut requests = 0.0;
         let mut retries = 0.0;
         for is_request in calls {
             if is_request {
-                budget.earn();
+                budget.deposit();
                 requests += 1.0;
-            } else if budget.spend() {
+            } else if budget.try_consume() {
                 retries += 1.0;
             }
             prop_assert!(retries <= 20.0 + requests * 0.2 + 1e-6);
