--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -22,26 +22,26 @@
 /// the value of what they asked for, over thirty runs with bursts and faults);
 /// 0.95 pushes out one in 800 (0.639); 1.0 one in 50 (0.642, with 13 to 20
 /// prompts a run read twice).
-const MEMORY_PART: f64 = 0.95;
+const USABLE_MEMORY_FRACTION: f64 = 0.95;
 /// What failing always weighs against the server being full once over.
 const FAILURE_WEIGHT: f64 = 4.0;
 /// What each gateway that passes a server over weighs, up to three of them.
-const PEER_ASIDE_WEIGHT: f64 = 0.7;
+const PEER_EJECTION_WEIGHT: f64 = 0.7;
 /// This many other gateways that pass a server over are believed outright.
-const PEERS_TO_BELIEVE: u32 = 2;
+const MIN_EJECTING_PEERS: u32 = 2;
 /// Prompt tokens an engine reads in a millisecond, for weighing a queue
 /// against a transfer between failure domains; measured on engines that read
 /// 55. It refuses nobody.
 pub(super) const PREFILL_TOKENS_PER_MS: f64 = 55.0;
 /// Milliseconds that an engine's being wholly full weighs.
-pub(super) const FULL_MS: f64 = 400.0;
+pub(super) const FULL_SERVER_MS: f64 = 400.0;
 
 /// A server that may take the request, with what the other gateways tell of
 /// it: looked up once, however many costs are weighed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
     pub server_state: &'a ServerState,
-    pub others: ServerSum,
+    pub peers: ServerSum,
     /// False while the server's rate limit keeps this gateway from sending to it.
     pub may_send: bool,
     /// What its failures weigh, ours and those that others saw, in shares of
@@ -52,33 +52,33 @@
 impl Candidate<'_> {
     /// Work there, ours and the other gateways'.
     pub fn load(&self) -> LoadShare {
-        self.server_state.own.plus(self.others.load)
+        self.server_state.local_load.plus(self.peers.load)
     }
 
     /// True when we pass the server over, or enough of the other gateways do
     /// that it is hardly their paths.
-    pub fn is_aside(&self, now: Instant) -> bool {
-        self.server_state.health.is_aside(now) || self.others.aside >= PEERS_TO_BELIEVE
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.server_state.health.is_ejected(now) || self.peers.aside >= MIN_EJECTING_PEERS
     }
 
     /// How full the engine would be with a stream of `shape`, from 0 to 1;
     /// `None` when it has no room for it.
-    pub fn room(&self, spec: &EngineSpec, shape: &PromptShape) -> Option<f64> {
+    pub fn occupancy_with(&self, spec: &EngineSpec, shape: &PromptShape) -> Option<f64> {
         let load = self.load();
         let slots = if spec.slots > 0 { spec.slots } else { self.server_state.entry.slots };
-        let with_it = load.plus(LoadShare::of_stream(shape));
-        let by_slots = f64::from(with_it.running) / f64::from(slots.max(1));
-        let by_memory = with_it.peak_tokens() / given_out(spec);
+        let load_after = load.plus(LoadShare::of_stream(shape));
+        let by_slots = f64::from(load_after.running) / f64::from(slots.max(1));
+        let by_memory = load_after.peak_tokens() / usable_tokens(spec);
         let is_alone = load.running == 0;
-        let filled = by_slots.max(if is_alone { by_memory.min(1.0) } else { by_memory });
-        (filled <= 1.0).then_some(filled)
+        let occupancy = by_slots.max(if is_alone { by_memory.min(1.0) } else { by_memory });
+        (occupancy <= 1.0).then_some(occupancy)
     }
 
     /// Milliseconds that a prompt waits there for those before it, with what
     /// failures weigh.
-    pub fn reading_cost(&self) -> f64 {
+    pub fn prefill_cost(&self) -> f64 {
         let queued = f64::from(self.load().prompt_tokens) / PREFILL_TOKENS_PER_MS;
-        queued + self.failure_cost * FULL_MS
+        queued + self.failure_cost * FULL_SERVER_MS
     }
 }
 
@@ -90,43 +90,44 @@
 /// down must never refuse a request by itself.
 pub(super) fn candidates<'a>(
     fleet: &'a Fleet,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
-    let mut open = open_candidates(fleet, need, suits);
-    open.retain(|candidate| candidate.may_send);
-    well_or_all(&open, need.now, |_| true)
+    let mut available = available_candidates(fleet, request, suits);
+    available.retain(|candidate| candidate.may_send);
+    healthy_or_all(&available, request.now, |_| true)
 }
 
 /// The servers that are open to the request, whatever their record.
-pub(super) fn open_candidates<'a>(
+pub(super) fn available_candidates<'a>(
     fleet: &'a Fleet,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
     fleet
-        .open_servers(need.service, need.now)
+        .available_servers(request.service, request.now)
         .filter(|(server_state, _)| suits(server_state.entry.stage))
-        .filter(|(server_state, _)| !need.tried.contains(&server_state.entry.server))
-        .map(|(server_state, others)| Candidate {
+        .filter(|(server_state, _)| !request.tried.contains(&server_state.entry.server))
+        .map(|(server_state, peers)| Candidate {
             server_state,
-            others,
-            may_send: fleet.may_send(server_state, need.now),
-            failure_cost: failure_cost(server_state, others, need.now),
+            peers,
+            may_send: fleet.may_send(server_state, request.now),
+            failure_cost: failure_cost(server_state, peers, request.now),
         })
         .collect()
 }
 
 /// Those of a suitable stage that are not set aside, or all of that stage if
 /// there are no others.
-pub(super) fn well_or_all<'a>(
-    open: &[Candidate<'a>],
+pub(super) fn healthy_or_all<'a>(
+    available: &[Candidate<'a>],
     now: Instant,
     suits: impl Fn(ServerStage) -> bool,
 ) -> Candidates<'a> {
-    let suitable = || open.iter().filter(|candidate| suits(candidate.server_state.entry.stage));
-    let well: Candidates<'a> = suitable().filter(|one| !one.is_aside(now)).copied().collect();
-    if well.is_empty() { suitable().copied().collect() } else { well }
+    let suitable =
+        || available.iter().filter(|candidate| suits(candidate.server_state.entry.stage));
+    let healthy: Candidates<'a> = suitable().filter(|one| !one.is_ejected(now)).copied().collect();
+    if healthy.is_empty() { suitable().copied().collect() } else { healthy }
 }
 
 /// The candidate of the least cost; equal ones are drawn from.
@@ -145,12 +146,12 @@
 /// What our own failures there weigh, and those of the other gateways: a
 /// server that one of them passes over is likely down for all, though only
 /// this one's path may be.
-fn failure_cost(server_state: &ServerState, others: ServerSum, now: Instant) -> f64 {
-    let peers = f64::from(others.aside.min(3));
-    server_state.health.failure_share(now) * FAILURE_WEIGHT + peers * PEER_ASIDE_WEIGHT
+fn failure_cost(server_state: &ServerState, peers: ServerSum, now: Instant) -> f64 {
+    let peer_count = f64::from(peers.aside.min(3));
+    server_state.health.failure_fraction(now) * FAILURE_WEIGHT + peer_count * PEER_EJECTION_WEIGHT
 }
 
 /// The tokens of an engine's memory that are given out.
-pub(super) fn given_out(spec: &EngineSpec) -> f64 {
-    f64::from(spec.kv_tokens.max(1)) * MEMORY_PART
+pub(super) fn usable_tokens(spec: &EngineSpec) -> f64 {
+    f64::from(spec.kv_tokens.max(1)) * USABLE_MEMORY_FRACTION
 }
--- a/crates/gateway/src/cluster/domain_prefill_servers.rs
+++ b/crates/gateway/src/cluster/domain_prefill_servers.rs
@@ -9,7 +9,7 @@
 /// What fetching the KV cache from another failure domain weighs, in
 /// milliseconds of prefill queue: such transfers take twice as long, and
 /// their bytes are paid for.
-const AWAY_TRANSFER_MS: f64 = 120.0;
+const CROSS_DOMAIN_TRANSFER_MS: f64 = 120.0;
 
 /// The cheapest prefill server of each failure domain, found once a decision:
 /// once for each pair of engines grows with the square of a site.
@@ -20,17 +20,17 @@
 
 impl<'a> DomainPrefillServers<'a> {
     /// The cheapest of `readers` in each domain by `cost`.
-    pub fn new(readers: &[Candidate<'a>], cost: impl Fn(&Candidate<'_>) -> f64) -> Self {
+    pub fn new(prefill_servers: &[Candidate<'a>], cost: impl Fn(&Candidate<'_>) -> f64) -> Self {
         let mut cheapest: SmallVec<[(Candidate<'a>, f64); 8]> = SmallVec::new();
-        for reader in readers {
-            let cost = cost(reader);
-            let domain = &reader.server_state.entry.domain;
+        for prefill_server in prefill_servers {
+            let cost = cost(prefill_server);
+            let domain = &prefill_server.server_state.entry.domain;
             let same =
                 |known: &&mut (Candidate<'a>, f64)| known.0.server_state.entry.domain == *domain;
             match cheapest.iter_mut().find(same) {
-                Some(known) if cost < known.1 => *known = (*reader, cost),
+                Some(known) if cost < known.1 => *known = (*prefill_server, cost),
                 Some(_) => {}
-                None => cheapest.push((*reader, cost)),
+                None => cheapest.push((*prefill_server, cost)),
             }
         }
         DomainPrefillServers { cheapest }
@@ -38,12 +38,16 @@
 
     /// The cheapest for a decode server in `domain` at which no more than
     /// `longest_queue` tokens wait, and its cost with the transfer's.
-    pub fn near(&self, domain: &DomainKey, longest_queue: u32) -> Option<(&'a ServerKey, f64)> {
+    pub fn cheapest_for(
+        &self,
+        domain: &DomainKey,
+        max_queued_tokens: u32,
+    ) -> Option<(&'a ServerKey, f64)> {
         self.cheapest
             .iter()
-            .filter(|(reader, _)| reader.load().prompt_tokens <= longest_queue)
-            .map(|(reader, cost)| {
-                let entry = &reader.server_state.entry;
+            .filter(|(prefill_server, _)| prefill_server.load().prompt_tokens <= max_queued_tokens)
+            .map(|(prefill_server, cost)| {
+                let entry = &prefill_server.server_state.entry;
                 (&entry.server, cost + transfer_cost(&entry.domain, domain))
             })
             .min_by(|left, right| left.1.total_cmp(&right.1))
@@ -52,5 +56,5 @@
 
 /// What a transfer between two failure domains weighs, in milliseconds.
 pub(super) fn transfer_cost(from: &DomainKey, to: &DomainKey) -> f64 {
-    if from == to { 0.0 } else { AWAY_TRANSFER_MS }
+    if from == to { 0.0 } else { CROSS_DOMAIN_TRANSFER_MS }
 }
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -26,25 +26,25 @@
 
 /// How long an entry that lapsed in an outage of the store still counts
 /// after its return: live servers are back within about two seconds.
-const LAPSE_GRACE: Duration = Duration::from_millis(2200);
+const EXPIRY_GRACE_PERIOD: Duration = Duration::from_millis(2200);
 
 /// Not read for this long, the table counts as not read: longer than any
 /// read waits.
-const UNREAD_AFTER: Duration = Duration::from_millis(2500);
+const STALE_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long an engine that was told to change its stage gets no work unless
 /// its registration shows the change: it lets its work end, is away for some
 /// 6 s, and registers within a heartbeat.
-const CHANGE_TIME: Duration = Duration::from_secs(12);
+const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// How long a server is passed over that has said it is another than its row
 /// tells of: a row that nobody renews is gone after three heartbeats of 1.2 s,
 /// and one that is renewed with nothing new in it is told to nobody.
-const OUTDATED_TIME: Duration = Duration::from_secs(5);
+const OUTDATED_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// How long a removed server is remembered: older rows of it may come late
 /// for as long as the store keeps its history, some 20 s.
-const REMOVED_TIME: Duration = Duration::from_secs(60);
+const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
 /// What is remembered of a server that was removed.
 #[derive(Debug)]
@@ -66,25 +66,25 @@
     pub departures: ServerDepartures,
     pub backoffs: ServerBackoffs,
     /// This gateway's digest.
-    pub(super) own: u64,
+    pub(super) digest: u64,
     /// Gateways that share the servers, this one included.
     pub(super) gateways: usize,
     /// Engines that this gateway has told to change their stage, and until
     /// when they count as changing at most.
-    changing: FxHashMap<ServerKey, (ServerStage, Instant)>,
+    stage_changes: FxHashMap<ServerKey, (ServerStage, Instant)>,
     /// So that a late row of before brings none back.
     removed: FxHashMap<ServerKey, RemovedServer>,
     grace_until: Option<Instant>,
     /// Since when the table has been read without an outage.
-    calm_since: Option<Instant>,
+    stable_since: Option<Instant>,
     /// When it was read last.
     read_at: Option<Instant>,
 }
 
 impl Fleet {
     /// The servers as the gateway with digest `own` sees them: none yet.
-    pub fn new(own: u64) -> Self {
-        Fleet { own, ..Fleet::default() }
+    pub fn new(digest: u64) -> Self {
+        Fleet { digest, ..Fleet::default() }
     }
 
     /// The store answers again after an outage: entries that are missing
@@ -95,38 +95,38 @@
     /// though the servers are well. Where another gateway has read the store
     /// for as long as that takes, the store has been back, or was never
     /// away: only our own path was cut, and what is missing is gone.
-    pub fn store_regained(&mut self, now: Instant) {
-        self.grace_until = Some(now + LAPSE_GRACE);
-        self.calm_since = Some(now);
+    pub fn record_store_available(&mut self, now: Instant) {
+        self.grace_until = Some(now + EXPIRY_GRACE_PERIOD);
+        self.stable_since = Some(now);
     }
 
     /// The table was read.
-    pub fn store_read(&mut self, now: Instant) {
-        self.calm_since.get_or_insert(now);
+    pub fn record_store_read(&mut self, now: Instant) {
+        self.stable_since.get_or_insert(now);
         self.read_at = Some(now);
     }
 
     /// For how long the table has been read without an outage; zero while it
     /// is not read.
-    pub fn store_calm(&self, now: Instant) -> Duration {
+    pub fn store_stable_duration(&self, now: Instant) -> Duration {
         let is_read =
-            self.read_at.is_some_and(|at| now.saturating_duration_since(at) < UNREAD_AFTER);
-        let since = self.calm_since.filter(|_| is_read);
+            self.read_at.is_some_and(|at| now.saturating_duration_since(at) < STALE_READ_TIMEOUT);
+        let since = self.stable_since.filter(|_| is_read);
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
     /// Until when missing entries may only have lapsed.
-    fn lapse_until(&self, now: Instant) -> Option<Instant> {
+    fn expiry_grace_end(&self, now: Instant) -> Option<Instant> {
         let until = self.grace_until.filter(|until| now < *until)?;
-        (!self.peers.has_read_for(LAPSE_GRACE, now)).then_some(until)
+        (!self.peers.has_read_for(EXPIRY_GRACE_PERIOD, now)).then_some(until)
     }
 
     /// Takes in a server's row.
     pub fn upsert(&mut self, entry: ServerEntry, version: StoreVersion) -> Option<FleetChange> {
-        let is_late = |removed: &RemovedServer| {
+        let is_outdated_row = |removed: &RemovedServer| {
             removed.version >= version || entry.started_at < removed.started_at
         };
-        if self.removed.get(&entry.server).is_some_and(is_late) {
+        if self.removed.get(&entry.server).is_some_and(is_outdated_row) {
             return None;
         }
         let Some(known) = self.servers.get_mut(&entry.server) else {
@@ -161,22 +161,22 @@
     fn restart(&mut self, entry: ServerEntry, version: StoreVersion) -> FleetChange {
         let key = entry.server.clone();
         if let Some(before) = self.servers.remove(&key) {
-            self.unlist(&before);
+            self.remove_from_service(&before);
         }
-        self.changing.remove(&key);
+        self.stage_changes.remove(&key);
         self.insert(entry, version);
         FleetChange::Restarted(key)
     }
 
     /// A server's row holds what is no registration: until it holds one again,
     /// it names no server to use.
-    pub fn note_unreadable(&mut self, key: &str, version: StoreVersion) {
+    pub fn record_unreadable(&mut self, key: &str, version: StoreVersion) {
         if let Some(known) = self.servers.get_mut(key)
             && version > known.version
         {
             known.version = version;
             known.is_unreadable = true;
-            known.gone_at = None;
+            known.expires_at = None;
         }
     }
 
@@ -187,18 +187,18 @@
         version: StoreVersion,
         now: Instant,
     ) -> Option<FleetChange> {
-        let lapse = self.lapse_until(now);
+        let grace_end = self.expiry_grace_end(now);
         let server_state = self.servers.get_mut(key)?;
         if server_state.version > version {
             return None;
         }
-        if let Some(until) = lapse
+        if let Some(until) = grace_end
             && !server_state.entry.is_leaving
         {
-            server_state.gone_at.get_or_insert(until);
-            return Some(FleetChange::Lapsed(server_state.entry.server.clone()));
+            server_state.expires_at.get_or_insert(until);
+            return Some(FleetChange::Expired(server_state.entry.server.clone()));
         }
-        self.forget(key, version, now)
+        self.drop_server(key, version, now)
     }
 
     /// Takes in a whole listing as of `version`: what it lacks is removed.
@@ -217,14 +217,14 @@
         let mut changes: Vec<FleetChange> =
             missing.iter().filter_map(|key| self.remove(key, version, now)).collect();
         changes.extend(entries.into_iter().filter_map(|(entry, at)| self.upsert(entry, at)));
-        unreadable.iter().for_each(|(key, at)| self.note_unreadable(key, *at));
+        unreadable.iter().for_each(|(key, at)| self.record_unreadable(key, *at));
         changes
     }
 
     /// Drops servers whose grace has passed; call about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<FleetChange> {
         self.peers.forget_old(now);
-        self.changing.retain(|_, (_, until)| now < *until);
+        self.stage_changes.retain(|_, (_, until)| now < *until);
         if self.has_flow_control() {
             let listed: FxHashSet<ServerIncarnation> =
                 self.servers.values().map(|server_state| server_state.incarnation).collect();
@@ -233,18 +233,18 @@
             self.backoffs.tick(|server| listed.contains(&server), now);
             self.update_shares(now);
         }
-        let may_have_lapsed = self.lapse_until(now).is_some();
-        let gone: Vec<(ServerKey, StoreVersion)> = self
+        let may_have_expired = self.expiry_grace_end(now).is_some();
+        let expired: Vec<(ServerKey, StoreVersion)> = self
             .servers
             .values()
-            .filter(|state| state.gone_at.is_some_and(|at| at <= now || !may_have_lapsed))
+            .filter(|state| state.expires_at.is_some_and(|at| at <= now || !may_have_expired))
             .map(|server_state| (server_state.entry.server.clone(), server_state.version))
             .collect();
-        let is_remembered = |removed: &RemovedServer| {
-            now.saturating_duration_since(removed.removed_at) < REMOVED_TIME
+        let is_retained = |removed: &RemovedServer| {
+            now.saturating_duration_since(removed.removed_at) < REMOVED_RETENTION
         };
-        self.removed.retain(|_, removed| is_remembered(removed));
-        gone.iter().filter_map(|(key, version)| self.forget(key, *version, now)).collect()
+        self.removed.retain(|_, removed| is_retained(removed));
+        expired.iter().filter_map(|(key, version)| self.drop_server(key, *version, now)).collect()
     }
 
     /// True when any limit, departure or backoff stated by a server is known.
@@ -253,23 +253,23 @@
     }
 
     /// An engine was told to change to `stage`: until it has, it refuses work.
-    pub fn begin_change(&mut self, key: &str, stage: ServerStage, now: Instant) {
-        self.changing.insert(key.into(), (stage, now + CHANGE_TIME));
+    pub fn begin_stage_change(&mut self, key: &str, stage: ServerStage, now: Instant) {
+        self.stage_changes.insert(key.into(), (stage, now + STAGE_CHANGE_TIMEOUT));
     }
 
     /// Engines that we have told to change, for a report to the peers.
     pub fn local_stage_changes(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
-            .filter(|server_state| self.is_own_change(server_state, now))
+            .filter(|server_state| self.is_changing_stage(server_state, now))
             .map(|server_state| server_state.incarnation)
             .collect()
     }
 
-    pub(super) fn is_own_change(&self, server_state: &ServerState, now: Instant) -> bool {
-        !self.changing.is_empty()
+    pub(super) fn is_changing_stage(&self, server_state: &ServerState, now: Instant) -> bool {
+        !self.stage_changes.is_empty()
             && self
-                .changing
+                .stage_changes
                 .get(&server_state.entry.server)
                 .is_some_and(|(stage, until)| server_state.entry.stage != *stage && now < *until)
     }
@@ -286,15 +286,15 @@
 
     /// Work at a server, ours and the other gateways'.
     pub fn load(&self, server_state: &ServerState, now: Instant) -> LoadShare {
-        server_state.own.plus(self.peers.server(server_state.incarnation, now).load)
+        server_state.local_load.plus(self.peers.server(server_state.incarnation, now).load)
     }
 
     /// Our own work at each server that has any, for a report to the peers.
     pub fn local_loads(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
-            .filter(|server_state| server_state.own.running > 0)
-            .map(|server_state| (server_state.incarnation, server_state.own))
+            .filter(|server_state| server_state.local_load.running > 0)
+            .map(|server_state| (server_state.incarnation, server_state.local_load))
             .collect()
     }
 
@@ -303,68 +303,73 @@
     pub fn local_ejections(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
-            .filter(|state| state.is_outdated(now) || state.health.is_aside(now))
+            .filter(|state| state.is_outdated(now) || state.health.is_ejected(now))
             .map(|server_state| server_state.incarnation)
             .collect()
     }
 
     /// Counts work that is being sent to a server; the start of the server at
     /// which it counts, if the server is known.
-    pub fn begin(&mut self, key: &str, work: LoadShare, now: Instant) -> Option<ServerIncarnation> {
+    pub fn add_load(
+        &mut self,
+        key: &str,
+        work: LoadShare,
+        now: Instant,
+    ) -> Option<ServerIncarnation> {
         let server_state = self.servers.get_mut(key)?;
-        server_state.health.note_work(now);
-        server_state.own = server_state.own.plus(work);
+        server_state.health.record_attempt(now);
+        server_state.local_load = server_state.local_load.plus(work);
         Some(server_state.incarnation)
     }
 
     /// Work at a start of a server has changed from `before` to `after`.
-    pub fn change(
+    pub fn replace_load(
         &mut self,
         key: &str,
         incarnation: ServerIncarnation,
         before: LoadShare,
         after: LoadShare,
     ) {
-        if let Some(server_state) = self.start_of(key, incarnation) {
-            server_state.own = server_state.own.minus(before).plus(after);
+        if let Some(server_state) = self.server_at(key, incarnation) {
+            server_state.local_load = server_state.local_load.minus(before).plus(after);
         }
     }
 
     /// Work at a start of a server has ended.
-    pub fn end(&mut self, key: &str, incarnation: ServerIncarnation, work: LoadShare) {
-        if let Some(server_state) = self.start_of(key, incarnation) {
-            server_state.own = server_state.own.minus(work);
+    pub fn remove_load(&mut self, key: &str, incarnation: ServerIncarnation, work: LoadShare) {
+        if let Some(server_state) = self.server_at(key, incarnation) {
+            server_state.local_load = server_state.local_load.minus(work);
         }
     }
 
     /// Notes how a send to a start of a server ended.
-    pub fn note(
+    pub fn record_outcome(
         &mut self,
         key: &str,
         incarnation: ServerIncarnation,
         outcome: ServerOutcome,
         now: Instant,
     ) {
-        let Some(server_state) = self.start_of(key, incarnation) else { return };
+        let Some(server_state) = self.server_at(key, incarnation) else { return };
         // Guards against prompts and streams that all go to a server which has
         // been replaced at its address: each is rejected and counts as a
         // repeat, 160 in 10 s when a third of 12 engines started anew. Its row
         // is a heartbeat old; the next tells what is there.
         if outcome == ServerOutcome::Misdirected {
-            server_state.outdated_until = Some(now + OUTDATED_TIME);
+            server_state.outdated_until = Some(now + OUTDATED_TIMEOUT);
         }
-        server_state.health.note(outcome, now);
+        server_state.health.record(outcome, now);
     }
 
     /// A server, if it has not started again since `incarnation`.
-    fn start_of(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerState> {
+    fn server_at(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerState> {
         self.servers.get_mut(key).filter(|server_state| server_state.incarnation == incarnation)
     }
 
     /// Notes stray bytes on a connection to a server.
-    pub fn note_garbled(&mut self, key: &str, now: Instant) {
+    pub fn record_malformed(&mut self, key: &str, now: Instant) {
         if let Some(server_state) = self.servers.get_mut(key) {
-            server_state.health.note_garbled(now);
+            server_state.health.record_malformed(now);
         }
     }
 
@@ -378,16 +383,21 @@
         self.servers.is_empty()
     }
 
-    fn forget(&mut self, key: &str, version: StoreVersion, now: Instant) -> Option<FleetChange> {
+    fn drop_server(
+        &mut self,
+        key: &str,
+        version: StoreVersion,
+        now: Instant,
+    ) -> Option<FleetChange> {
         let server_state = self.servers.remove(key)?;
-        self.unlist(&server_state);
+        self.remove_from_service(&server_state);
         let removed =
             RemovedServer { version, started_at: server_state.entry.started_at, removed_at: now };
         self.removed.insert(server_state.entry.server.clone(), removed);
         Some(FleetChange::Removed(server_state.entry.server))
     }
 
-    fn unlist(&mut self, server_state: &ServerState) {
+    fn remove_from_service(&mut self, server_state: &ServerState) {
         if let Some(keys) = self.services.get_mut(&server_state.entry.service) {
             keys.retain(|listed| listed != &server_state.entry.server);
         }
@@ -404,17 +414,17 @@
 ) -> Option<FleetChange> {
     if version <= known.version {
         if version == known.version {
-            known.gone_at = None;
+            known.expires_at = None;
         }
         return None;
     }
     let was_leaving = known.entry.is_leaving;
     entry.is_leaving |= was_leaving;
-    let begins_leaving = entry.is_leaving && !was_leaving;
+    let is_newly_leaving = entry.is_leaving && !was_leaving;
     known.entry = entry;
     known.version = version;
-    known.gone_at = None;
+    known.expires_at = None;
     known.is_unreadable = false;
     known.outdated_until = None;
-    begins_leaving.then(|| FleetChange::Leaving(known.entry.server.clone()))
+    is_newly_leaving.then(|| FleetChange::Leaving(known.entry.server.clone()))
 }
--- a/crates/gateway/src/cluster/fleet_change.rs
+++ b/crates/gateway/src/cluster/fleet_change.rs
@@ -11,7 +11,7 @@
     Leaving(ServerKey),
     Removed(ServerKey),
     /// Missing after an outage; counts as gone unless it is back in time.
-    Lapsed(ServerKey),
+    Expired(ServerKey),
     /// Started again under its id.
     Restarted(ServerKey),
 }
--- a/crates/gateway/src/cluster/fleet_departures.rs
+++ b/crates/gateway/src/cluster/fleet_departures.rs
@@ -11,12 +11,12 @@
     /// Returns the change if the server is listed and was not leaving before.
     ///
     /// Does not wait for the server's row, which is late while the store is unavailable.
-    pub fn note_departure(
+    pub fn record_departure(
         &mut self,
         server: ServerIncarnation,
         now: Instant,
     ) -> Option<FleetChange> {
-        if !self.departures.note(server, now) {
+        if !self.departures.record(server, now) {
             return None;
         }
         let mut servers = self.servers.values_mut();
--- a/crates/gateway/src/cluster/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -20,7 +20,7 @@
 impl Fleet {
     /// Applies the limit that an answer of `server` to a request sent at `sent_at`
     /// states.
-    pub fn note_limit(
+    pub fn record_limit(
         &mut self,
         server: ServerIncarnation,
         stated: StatedLimit,
@@ -33,48 +33,53 @@
     }
 
     /// Applies a limit reported by another gateway.
-    pub fn hear_limit(&mut self, news: LimitUpdate, now: Instant) -> Option<ServerLimitChange> {
-        let change = self.limits.hear(news, now)?;
-        self.update_share(news.server, now);
+    pub fn apply_peer_limit(
+        &mut self,
+        update: LimitUpdate,
+        now: Instant,
+    ) -> Option<ServerLimitChange> {
+        let change = self.limits.hear(update, now)?;
+        self.update_share(update.server, now);
         Some(change)
     }
 
     /// Records that `server` requests a backoff of `delay` from this gateway; true when it
     /// ends later than the known one.
-    pub fn note_backoff(
+    pub fn record_backoff(
         &mut self,
         server: ServerIncarnation,
         delay: Duration,
         now: Instant,
     ) -> bool {
-        self.backoffs.note(server, self.own, now + delay, now)
+        self.backoffs.record(server, self.digest, now + delay, now)
     }
 
     /// Applies a backoff reported by another gateway; true when it concerns this gateway and
     /// ends later than the known one.
-    pub fn hear_backoff(&mut self, news: BackoffUpdate, now: Instant) -> bool {
-        let until = now + Duration::from_millis(u64::from(news.left_ms));
-        self.backoffs.note(news.server, news.gateway, until, now) && news.gateway == self.own
+    pub fn apply_peer_backoff(&mut self, update: BackoffUpdate, now: Instant) -> bool {
+        let until = now + Duration::from_millis(u64::from(update.left_ms));
+        self.backoffs.record(update.server, update.gateway, until, now)
+            && update.gateway == self.digest
     }
 
     /// The backoffs that a report includes: recent ones of this gateway, or with `tells_all`
     /// all of them, and all known ones of `newcomers`.
-    pub fn backoff_update(
+    pub fn backoff_updates(
         &self,
-        tells_all: bool,
+        reports_all: bool,
         newcomers: &[u64],
         now: Instant,
     ) -> Vec<BackoffUpdate> {
-        let tells_all_of =
-            |gateway| (tells_all && gateway == self.own) || newcomers.contains(&gateway);
-        self.backoffs.news(self.own, tells_all_of, now)
+        let reports_all_of =
+            |gateway| (reports_all && gateway == self.digest) || newcomers.contains(&gateway);
+        self.backoffs.updates(self.digest, reports_all_of, now)
     }
 
     /// True when no backoff of the server is in force for this gateway and its rate limit
     /// allows a request now.
     pub(super) fn may_send(&self, server_state: &ServerState, now: Instant) -> bool {
         let server = server_state.incarnation;
-        self.backoffs.until(server, self.own, now).is_none() && self.limits.may_send(server, now)
+        self.backoffs.until(server, self.digest, now).is_none() && self.limits.may_send(server, now)
     }
 
     /// True when the server with the id `key` states a limit.
@@ -86,7 +91,7 @@
     /// Takes a token for a request that is about to be sent to `server`; false when a
     /// backoff or its rate limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
-        self.backoffs.until(server, self.own, now).is_none()
+        self.backoffs.until(server, self.digest, now).is_none()
             && self.limits.take_send_token(server, now)
     }
 
@@ -98,7 +103,7 @@
         suits: impl Fn(ServerStage) -> bool,
         now: Instant,
     ) -> Option<Instant> {
-        self.open_servers(service, now)
+        self.available_servers(service, now)
             .filter(|(server_state, _)| suits(server_state.entry.stage))
             .filter_map(|(server_state, _)| self.next_send_to(server_state.incarnation, now))
             .min()
@@ -108,14 +113,14 @@
     /// of its limit.
     fn next_send_to(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
         let by_limit = self.limits.next_send_at(server, now)?;
-        let backoff_end = self.backoffs.until(server, self.own, now);
+        let backoff_end = self.backoffs.until(server, self.digest, now);
         Some(backoff_end.map_or(by_limit, |end| end.max(by_limit)))
     }
 
     /// This gateway's share of the limit of `server`, in requests per second.
-    pub fn own_limit_share(&self, server: ServerIncarnation) -> Option<f64> {
+    pub fn local_limit_share(&self, server: ServerIncarnation) -> Option<f64> {
         let limit = self.limits.limit(server)?;
-        Some(self.own_share(self.server_by_incarnation(server)?, limit))
+        Some(self.local_share(self.server_by_incarnation(server)?, limit))
     }
 
     /// Recomputes this gateway's share of each limit from the gateways now heard.
@@ -125,7 +130,7 @@
             .values()
             .filter_map(|server_state| {
                 let limit = self.limits.limit(server_state.incarnation)?;
-                Some((server_state.incarnation, self.own_share(server_state, limit)))
+                Some((server_state.incarnation, self.local_share(server_state, limit)))
             })
             .collect();
         for (server, share) in shares {
@@ -134,20 +139,20 @@
     }
 
     fn update_share(&mut self, server: ServerIncarnation, now: Instant) {
-        if let Some(share) = self.own_limit_share(server) {
+        if let Some(share) = self.local_limit_share(server) {
             self.limits.set_share(server, share, now);
         }
     }
 
-    fn own_share(&self, server_state: &ServerState, limit: RequestRate) -> f64 {
+    fn local_share(&self, server_state: &ServerState, limit: RequestRate) -> f64 {
         let shards = self.shards(&server_state.entry.service);
-        if !shares_shard(self.own, server_state.incarnation, shards) {
+        if !shares_shard(self.digest, server_state.incarnation, shards) {
             return 0.0;
         }
-        let heard = self.peers.len() + 1;
-        if heard * 2 <= self.gateways {
+        let live_gateways = self.peers.len() + 1;
+        if live_gateways * 2 <= self.gateways {
             return even_limit_share(limit, self.gateways);
         }
-        limit_share(limit, self.peers.limit_rank(self.own, server_state.incarnation, shards))
+        limit_share(limit, self.peers.limit_rank(self.digest, server_state.incarnation, shards))
     }
 }
--- a/crates/gateway/src/cluster/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -31,20 +31,21 @@
     /// The servers of `service` that may get new work, each with what the
     /// other gateways tell of it: those of this gateway's shard, or all where that
     /// has none.
-    pub fn open_servers<'a>(
+    pub fn available_servers<'a>(
         &'a self,
         service: &str,
         now: Instant,
     ) -> impl Iterator<Item = (&'a ServerState, ServerSum)> {
         let shards = self.shards(service);
-        let has_near = shards > 1 && self.open_of(service, shards, now).next().is_some();
-        self.open_of(service, if has_near { shards } else { 1 }, now)
+        let has_local_shard =
+            shards > 1 && self.available_in_shard(service, shards, now).next().is_some();
+        self.available_in_shard(service, if has_local_shard { shards } else { 1 }, now)
             .map(move |state| (state, self.peers.server(state.incarnation, now)))
-            .filter(|(_, others)| others.changing == 0)
+            .filter(|(_, peer_sum)| peer_sum.changing == 0)
     }
 
     /// The open servers of `service` in this gateway's one of `shards`.
-    fn open_of<'a>(
+    fn available_in_shard<'a>(
         &'a self,
         service: &str,
         shards: u64,
@@ -53,16 +54,16 @@
         let keys = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         keys.iter()
             .filter_map(|key| self.servers.get(key))
-            .filter(move |server_state| shares_shard(self.own, server_state.incarnation, shards))
-            .filter(move |state| state.is_open(now) && !self.is_own_change(state, now))
+            .filter(move |server_state| shares_shard(self.digest, server_state.incarnation, shards))
+            .filter(move |state| state.is_available(now) && !self.is_changing_stage(state, now))
     }
 
     /// The same at servers that gateways of all shards use.
     pub fn local_loads_for_peers(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
-            .filter(|state| state.own.running > 0 && self.shards(&state.entry.service) == 1)
-            .map(|server_state| (server_state.incarnation, server_state.own))
+            .filter(|state| state.local_load.running > 0 && self.shards(&state.entry.service) == 1)
+            .map(|server_state| (server_state.incarnation, server_state.local_load))
             .collect()
     }
 }
--- a/crates/gateway/src/cluster/load_share.rs
+++ b/crates/gateway/src/cluster/load_share.rs
@@ -8,7 +8,7 @@
 /// The most that another gateway's report counts for, in each field: far more
 /// than one gateway can have at one server, and little enough that the sum
 /// over a thousand gateways does not overflow.
-const MAX_HEARD: u32 = u32::MAX / 1024;
+const MAX_REPORTED: u32 = u32::MAX / 1024;
 
 /// Work at one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -85,9 +85,9 @@
         if output <= 0.0 {
             return held;
         }
-        let together = (2.0 * left / output - 1.0).clamp(0.0, 1.0);
+        let sync_fraction = (2.0 * left / output - 1.0).clamp(0.0, 1.0);
         let until_first_end = 2.0 * left / (f64::from(self.running) + 1.0);
-        held + (left * together).max(until_first_end.min(left))
+        held + (left * sync_fraction).max(until_first_end.min(left))
     }
 
     /// This share as it is counted when another gateway tells of it.
@@ -96,10 +96,10 @@
     /// would make sums overflow, and a server look full for good.
     pub fn bounded(self) -> LoadShare {
         LoadShare {
-            running: self.running.min(MAX_HEARD),
-            prompt_tokens: self.prompt_tokens.min(MAX_HEARD),
-            output_tokens: self.output_tokens.min(MAX_HEARD),
-            made_tokens: self.made_tokens.min(MAX_HEARD),
+            running: self.running.min(MAX_REPORTED),
+            prompt_tokens: self.prompt_tokens.min(MAX_REPORTED),
+            output_tokens: self.output_tokens.min(MAX_REPORTED),
+            made_tokens: self.made_tokens.min(MAX_REPORTED),
         }
     }
 }
--- a/crates/gateway/src/cluster/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -8,13 +8,13 @@
 use super::LoadShare;
 use super::ServerState;
 use super::candidate::Candidate;
-use super::candidate::FULL_MS;
+use super::candidate::FULL_SERVER_MS;
 use super::candidate::PREFILL_TOKENS_PER_MS;
+use super::candidate::available_candidates;
 use super::candidate::candidates;
 use super::candidate::cheapest;
-use super::candidate::given_out;
-use super::candidate::open_candidates;
-use super::candidate::well_or_all;
+use super::candidate::healthy_or_all;
+use super::candidate::usable_tokens;
 use super::domain_prefill_servers::DomainPrefillServers;
 use super::domain_prefill_servers::transfer_cost;
 use super::rendezvous_score::rendezvous_score;
@@ -26,7 +26,7 @@
 
 /// What another failure domain weighs for plain calls, in shares of a full
 /// server: two more hops of under two milliseconds, against queueing.
-const AWAY_WEIGHT: f64 = 0.3;
+const CROSS_DOMAIN_WEIGHT: f64 = 0.3;
 /// A decode engine reads its prompt itself once prompts of this many times its
 /// length wait at every reader: it would be done sooner, at half a reader's
 /// speed and between its streams' tokens, though these are held up by it.
@@ -34,7 +34,7 @@
 /// Guards against readers that become the narrow stage, when some fail, slow
 /// down or were ordered away in a burst: all prompts queued there, first events
 /// came after 1.9 s at the median, and half of all streams were late.
-const READS_ITSELF_TIMES: f64 = 4.0;
+const SELF_PREFILL_QUEUE_FACTOR: f64 = 4.0;
 
 /// What a placement must respect.
 #[derive(Debug)]
@@ -80,15 +80,15 @@
 /// how it has fared and how far it is.
 pub fn place_plain(
     fleet: &Fleet,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Result<PlainPlacement, PlacementError> {
     let cost = |candidate: &Candidate<'_>| {
         let entry = &candidate.server_state.entry;
-        let filled = f64::from(candidate.load().running + 1) / f64::from(entry.slots.max(1));
-        let distance = if entry.domain == *need.domain { 0.0 } else { AWAY_WEIGHT };
-        filled + candidate.failure_cost + distance
+        let occupancy = f64::from(candidate.load().running + 1) / f64::from(entry.slots.max(1));
+        let distance = if entry.domain == *request.domain { 0.0 } else { CROSS_DOMAIN_WEIGHT };
+        occupancy + candidate.failure_cost + distance
     };
-    let (server, cost) = cheapest(&candidates(fleet, need, |_| true), cost)?;
+    let (server, cost) = cheapest(&candidates(fleet, request, |_| true), cost)?;
     Ok(PlainPlacement { server, cost })
 }
 
@@ -102,40 +102,46 @@
     fleet: &Fleet,
     spec: &EngineSpec,
     shape: &PromptShape,
-    ahead: usize,
-    need: &PlacementRequest<'_>,
+    requests_ahead: usize,
+    request: &PlacementRequest<'_>,
 ) -> Result<EnginePlacement, PlacementError> {
     let can_decode =
         |candidate: &Candidate<'_>| candidate.server_state.entry.stage != ServerStage::Prefill;
-    let mut engines = open_candidates(fleet, need, |_| true);
+    let mut engines = available_candidates(fleet, request, |_| true);
     if !engines.iter().any(can_decode) {
         return Err(PlacementError::NoServer);
     }
     engines.retain(|candidate| candidate.may_send);
-    let decodes = well_or_all(&engines, need.now, |stage| stage != ServerStage::Prefill);
+    let decode_servers =
+        healthy_or_all(&engines, request.now, |stage| stage != ServerStage::Prefill);
     let prompt_ms = f64::from(shape.prompt_tokens) / PREFILL_TOKENS_PER_MS;
-    let reading_cost =
-        |cand: &Candidate<'_>| cand.reading_cost() + dislike(need, cand.server_state) * prompt_ms;
-    let readers = well_or_all(&engines, need.now, |stage| stage == ServerStage::Prefill);
-    let readers = DomainPrefillServers::new(&readers, reading_cost);
-    let longest_queue = (f64::from(shape.prompt_tokens) * READS_ITSELF_TIMES) as u32;
-    let stream_fill = LoadShare::of_stream(shape).peak_tokens() / given_out(spec);
-    let mut places: SmallVec<[(f64, usize); 32]> = SmallVec::new();
-    for (at, decode) in decodes.iter().enumerate() {
-        let Some(fill) = decode.room(spec, shape) else { continue };
-        let fill = fill + dislike(need, decode.server_state) * stream_fill;
-        let decode_cost = (fill + decode.failure_cost) * FULL_MS;
-        let reader = readers.near(&decode.server_state.entry.domain, longest_queue);
-        let reader_cost = reader.map_or(prompt_ms * READS_ITSELF_TIMES, |(_, cost)| cost);
-        places.push((decode_cost + reader_cost, at));
+    let prefill_cost =
+        |one: &Candidate<'_>| one.prefill_cost() + tie_break(request, one.server_state) * prompt_ms;
+    let prefill_servers =
+        healthy_or_all(&engines, request.now, |stage| stage == ServerStage::Prefill);
+    let prefill_servers = DomainPrefillServers::new(&prefill_servers, prefill_cost);
+    let max_queued_tokens = (f64::from(shape.prompt_tokens) * SELF_PREFILL_QUEUE_FACTOR) as u32;
+    let stream_occupancy = LoadShare::of_stream(shape).peak_tokens() / usable_tokens(spec);
+    let mut options: SmallVec<[(f64, usize); 32]> = SmallVec::new();
+    for (index, decode) in decode_servers.iter().enumerate() {
+        let Some(occupancy) = decode.occupancy_with(spec, shape) else { continue };
+        let occupancy = occupancy + tie_break(request, decode.server_state) * stream_occupancy;
+        let decode_cost = (occupancy + decode.failure_cost) * FULL_SERVER_MS;
+        let prefill_server =
+            prefill_servers.cheapest_for(&decode.server_state.entry.domain, max_queued_tokens);
+        let prefill_server_cost =
+            prefill_server.map_or(prompt_ms * SELF_PREFILL_QUEUE_FACTOR, |(_, cost)| cost);
+        options.push((decode_cost + prefill_server_cost, index));
     }
-    if ahead >= places.len() {
+    if requests_ahead >= options.len() {
         return Err(PlacementError::NoRoom);
     }
     let by_cost = |left: &(f64, usize), right: &(f64, usize)| left.0.total_cmp(&right.0);
-    let (_, &mut (cost, at), _) = places.select_nth_unstable_by(ahead, by_cost);
-    let decode = &decodes[at].server_state.entry;
-    let prefill = readers.near(&decode.domain, longest_queue).map(|(server, _)| server.clone());
+    let (_, &mut (cost, index), _) = options.select_nth_unstable_by(requests_ahead, by_cost);
+    let decode = &decode_servers[index].server_state.entry;
+    let prefill = prefill_servers
+        .cheapest_for(&decode.domain, max_queued_tokens)
+        .map(|(server, _)| server.clone());
     Ok(EnginePlacement { decode: decode.server.clone(), prefill, cost })
 }
 
@@ -145,26 +151,26 @@
     fleet: &Fleet,
     spec: &EngineSpec,
     shape: &PromptShape,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Result<ServerKey, PlacementError> {
-    let decodes = candidates(fleet, need, |stage| stage != ServerStage::Prefill);
+    let decode_servers = candidates(fleet, request, |stage| stage != ServerStage::Prefill);
     let cost = |candidate: &Candidate<'_>| {
-        candidate.room(spec, shape).unwrap_or(2.0) + candidate.failure_cost
+        candidate.occupancy_with(spec, shape).unwrap_or(2.0) + candidate.failure_cost
     };
-    cheapest(&decodes, cost).map(|(server, _)| server)
+    cheapest(&decode_servers, cost).map(|(server, _)| server)
 }
 
 /// A prefill server near `domain`.
 pub fn place_prefill(
     fleet: &Fleet,
     domain: &DomainKey,
-    need: &PlacementRequest<'_>,
+    request: &PlacementRequest<'_>,
 ) -> Result<ServerKey, PlacementError> {
-    let prefills = candidates(fleet, need, |stage| stage == ServerStage::Prefill);
+    let prefill_servers = candidates(fleet, request, |stage| stage == ServerStage::Prefill);
     let cost = |candidate: &Candidate<'_>| {
-        candidate.reading_cost() + transfer_cost(&candidate.server_state.entry.domain, domain)
+        candidate.prefill_cost() + transfer_cost(&candidate.server_state.entry.domain, domain)
     };
-    cheapest(&prefills, cost).map(|(server, _)| server)
+    cheapest(&prefill_servers, cost).map(|(server, _)| server)
 }
 
 /// How much this gateway dislikes a server among equal ones, from 0 to 1: a
@@ -175,6 +181,6 @@
 /// looks emptiest. Of 79 gateways' placements within 30 ms of each other a
 /// third met at one server of 39; its prompts queued and its memory ran out.
 /// A server that is less loaded by one request still goes first.
-fn dislike(need: &PlacementRequest<'_>, server_state: &ServerState) -> f64 {
-    f64::from(rendezvous_score(need.gateway, server_state.incarnation)) / f64::from(u32::MAX)
+fn tie_break(request: &PlacementRequest<'_>, server_state: &ServerState) -> f64 {
+    f64::from(rendezvous_score(request.gateway, server_state.incarnation)) / f64::from(u32::MAX)
 }
--- a/crates/gateway/src/cluster/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -7,14 +7,14 @@
 
 use super::BackoffUpdate;
 use super::IncarnationTable;
-use super::news_sample::sample;
+use super::update_sample::sample;
 use crate::model::ServerIncarnation;
 
 /// How long a new or extended backoff is eligible for every report.
-const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
+const REPORT_WINDOW: Duration = Duration::from_secs(3);
 /// Maximum number of backoffs in a report. Limits them to a quarter of the maximum datagram
 /// size.
-const MAX_TOLD: usize = 80;
+const MAX_REPORTED: usize = 80;
 /// Maximum number of gateways per server. Bounds memory, since backoffs reported by other
 /// gateways are not verified.
 const MAX_GATEWAYS: usize = 1024;
@@ -38,7 +38,7 @@
 impl ServerBackoffs {
     /// Records that `server` requests a backoff from `gateway` until `until`, unless the known
     /// one ends no earlier; true when it was recorded.
-    pub fn note(
+    pub fn record(
         &mut self,
         server: ServerIncarnation,
         gateway: u64,
@@ -66,26 +66,27 @@
 
     /// The backoffs that a report of the gateway `own` includes: its recent ones, and all of
     /// the gateways for which `tells_all_of` is true; a random sample if there are too many.
-    pub fn news(
+    pub fn updates(
         &self,
-        own: u64,
-        tells_all_of: impl Fn(u64) -> bool,
+        local_gateway: u64,
+        reports_all_of: impl Fn(u64) -> bool,
         now: Instant,
     ) -> Vec<BackoffUpdate> {
-        let is_told = |gateway: u64, backoff: &ServerBackoff| {
-            let is_recent = now.saturating_duration_since(backoff.changed_at) < CHANGE_TOLD_FOR;
-            now < backoff.until && (tells_all_of(gateway) || (gateway == own && is_recent))
+        let is_reported = |gateway: u64, backoff: &ServerBackoff| {
+            let is_recent = now.saturating_duration_since(backoff.changed_at) < REPORT_WINDOW;
+            now < backoff.until
+                && (reports_all_of(gateway) || (gateway == local_gateway && is_recent))
         };
         let all = self.backoffs.iter().flat_map(|(server, gateways)| {
             gateways.iter().map(move |(gateway, backoff)| (server, *gateway, *backoff))
         });
-        let told = all.filter(|(_, gateway, backoff)| is_told(*gateway, backoff));
-        let news = told.map(|(server, gateway, backoff)| {
+        let reported = all.filter(|(_, gateway, backoff)| is_reported(*gateway, backoff));
+        let updates = reported.map(|(server, gateway, backoff)| {
             let left = backoff.until.saturating_duration_since(now);
             let left_ms = u32::try_from(left.as_millis()).unwrap_or(u32::MAX);
             BackoffUpdate { server, gateway, left_ms }
         });
-        sample(news.collect(), MAX_TOLD)
+        sample(updates.collect(), MAX_REPORTED)
     }
 
     /// Removes backoffs that have ended, and servers that have been unlisted for the
--- a/crates/gateway/src/cluster/server_departures.rs
+++ b/crates/gateway/src/cluster/server_departures.rs
@@ -4,14 +4,14 @@
 use std::time::Instant;
 
 use super::IncarnationTable;
-use super::news_sample::sample;
+use super::update_sample::sample;
 use crate::model::ServerIncarnation;
 
 /// How long a new departure is eligible for every report.
-const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
+const REPORT_WINDOW: Duration = Duration::from_secs(3);
 /// Maximum number of departures in a report. Limits them to an eighth of the maximum datagram
 /// size.
-const MAX_TOLD: usize = 96;
+const MAX_REPORTED: usize = 96;
 
 /// The server incarnations that have stated that they are leaving. A departure is never
 /// withdrawn.
@@ -23,17 +23,17 @@
 
 impl ServerDepartures {
     /// Records that `server` is leaving; true when a new entry was added.
-    pub fn note(&mut self, server: ServerIncarnation, now: Instant) -> bool {
+    pub fn record(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         let is_new = !self.contains(server);
         self.known_since.get_or_insert_with(server, now, || now).is_some() && is_new
     }
 
     /// The departures that a report includes: recent ones, or with `tells_all` every entry;
     /// a random sample if there are too many.
-    pub fn news(&self, tells_all: bool, now: Instant) -> Vec<ServerIncarnation> {
-        let is_recent = |since: &Instant| now.saturating_duration_since(*since) < CHANGE_TOLD_FOR;
-        let told = self.known_since.iter().filter(|(_, since)| tells_all || is_recent(since));
-        sample(told.map(|(server, _)| server).collect(), MAX_TOLD)
+    pub fn updates(&self, reports_all: bool, now: Instant) -> Vec<ServerIncarnation> {
+        let is_recent = |since: &Instant| now.saturating_duration_since(*since) < REPORT_WINDOW;
+        let reported = self.known_since.iter().filter(|(_, since)| reports_all || is_recent(since));
+        sample(reported.map(|(server, _)| server).collect(), MAX_REPORTED)
     }
 
     pub fn contains(&self, server: ServerIncarnation) -> bool {
--- a/crates/gateway/src/cluster/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -6,7 +6,7 @@
 use super::IncarnationTable;
 use super::LimitUpdate;
 use super::TokenBucket;
-use super::news_sample::sample;
+use super::update_sample::sample;
 use crate::model::RequestRate;
 use crate::model::ServerIncarnation;
 use crate::model::StatedLimit;
--- a/crates/gateway/src/cluster/server_shards.rs
+++ b/crates/gateway/src/cluster/server_shards.rs
@@ -6,7 +6,7 @@
 const MIN_SERVERS: usize = 32;
 /// Gateways from which on servers are sharded. Below that all tell each other at
 /// once, and each may use every server.
-const SHARDED_FROM: usize = 120;
+const MIN_SHARDED_GATEWAYS: usize = 120;
 
 /// Into how many shards the `servers` of a service are divided among `gateways`; a
 /// power of two, so that gateways that count differently still share most.
@@ -15,11 +15,11 @@
 /// links make configuration, servers and loads stale at once. Only those of one
 /// shard need each other's loads as they change.
 pub fn shard_count(gateways: usize, servers: usize) -> u64 {
-    if gateways < SHARDED_FROM {
+    if gateways < MIN_SHARDED_GATEWAYS {
         return 1;
     }
-    let most = (gateways / MIN_GATEWAYS).min(servers / MIN_SERVERS).max(1);
-    1 << most.ilog2()
+    let max_shards = (gateways / MIN_GATEWAYS).min(servers / MIN_SERVERS).max(1);
+    1 << max_shards.ilog2()
 }
 
 /// True when two digests, of gateways or servers, fall into the same of `count`
--- a/crates/gateway/src/cluster/server_state.rs
+++ b/crates/gateway/src/cluster/server_state.rs
@@ -17,11 +17,11 @@
     /// This start of the server, as it stands in load reports.
     pub incarnation: ServerIncarnation,
     /// Our own work there.
-    pub own: LoadShare,
+    pub local_load: LoadShare,
     pub health: ServerHealth,
     /// Set when the entry was found missing after an outage of the store;
     /// the server counts as gone from then on.
-    pub gone_at: Option<Instant>,
+    pub expires_at: Option<Instant>,
     /// True while the server's row holds what is no registration.
     pub is_unreadable: bool,
     /// Set once the server at its address has said that it is another than the
@@ -36,9 +36,9 @@
             incarnation: entry.incarnation(),
             entry,
             version,
-            own: LoadShare::default(),
+            local_load: LoadShare::default(),
             health: ServerHealth::default(),
-            gone_at: None,
+            expires_at: None,
             is_unreadable: false,
             outdated_until: None,
         }
@@ -50,8 +50,8 @@
     }
 
     /// True when new work may go there.
-    pub fn is_open(&self, now: Instant) -> bool {
-        let is_row_true = !self.is_unreadable && !self.is_outdated(now);
-        !self.entry.is_leaving && is_row_true && self.gone_at.is_none_or(|at| now < at)
+    pub fn is_available(&self, now: Instant) -> bool {
+        let is_row_valid = !self.is_unreadable && !self.is_outdated(now);
+        !self.entry.is_leaving && is_row_valid && self.expires_at.is_none_or(|at| now < at)
     }
 }
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -13,14 +13,14 @@
 /// Streams needed before their mean is believed.
 const MIN_STREAMS: u32 = 8;
 /// The weight of one stream in the mean, once there are enough.
-const WEIGHT: f64 = 0.05;
+const SAMPLE_WEIGHT: f64 = 0.05;
 /// Readers are kept at this share of their time when engines that generate are
 /// full. What they do not read in time, the engines that generate read for
 /// themselves: without that, readers kept at 0.8 queued for seconds and 0.5 was
 /// the most that held (callers got 0.634 and 0.642 of the value of what they
 /// asked for); with it 0.8 gives 0.663 and 0.5 0.655, over twenty runs each with
 /// bursts and faults.
-const READING_SHARE: f64 = 0.8;
+const TARGET_PREFILL_UTILISATION: f64 = 0.8;
 
 /// What a mean stream takes of engines' time.
 ///
@@ -45,10 +45,10 @@
 
 impl StageBalance {
     /// Takes in a stream that ended well, `stay` after its engines were chosen.
-    pub fn note_stream(&mut self, prompt_tokens: u32, made_tokens: u32, stay: Duration) {
+    pub fn record_stream(&mut self, prompt_tokens: u32, made_tokens: u32, duration: Duration) {
         self.streams = self.streams.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.streams));
-        let stay_s = stay.as_secs_f64();
+        let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.streams));
+        let stay_s = duration.as_secs_f64();
         // Half of the answer is held on the mean over its time.
         let held = f64::from(prompt_tokens) + f64::from(made_tokens) / 2.0;
         self.prompt_tokens += (f64::from(prompt_tokens) - self.prompt_tokens) * weight;
@@ -76,15 +76,15 @@
 
     /// The engines of `engines` that should read prompts so that both stages
     /// are full at the same load; `None` while too little is known.
-    pub fn wanted_readers(&self, engines: usize, spec: &EngineSpec) -> Option<usize> {
+    pub fn target_prefill_servers(&self, engines: usize, spec: &EngineSpec) -> Option<usize> {
         if self.streams < MIN_STREAMS {
             return None;
         }
-        let read_s = self.prompt_tokens * self.reading.millis_per_token()? / 1000.0;
+        let prefill_s = self.prompt_tokens * self.reading.millis_per_token()? / 1000.0;
         let by_memory = self.token_s / f64::from(spec.kv_tokens.max(1));
         let by_slots = self.stay_s / f64::from(spec.slots.max(1));
-        let reading = read_s / READING_SHARE;
-        let part = reading / (reading + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
-        Some((part * engines as f64).round() as usize)
+        let reading = prefill_s / TARGET_PREFILL_UTILISATION;
+        let fraction = reading / (reading + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
+        Some((fraction * engines as f64).round() as usize)
     }
 }
--- a/crates/gateway/src/cluster/news_sample.rs
+++ b/crates/gateway/src/cluster/update_sample.rs
@@ -4,10 +4,10 @@
 ///
 /// Guards against a report that exceeds the maximum datagram size and is therefore not
 /// sent. Every report draws a new sample, so omitted entries are reported later.
-pub(super) fn sample<T>(mut news: Vec<T>, max_len: usize) -> Vec<T> {
-    if news.len() > max_len {
-        fastrand::shuffle(&mut news);
-        news.truncate(max_len);
+pub(super) fn sample<T>(mut updates: Vec<T>, max_len: usize) -> Vec<T> {
+    if updates.len() > max_len {
+        fastrand::shuffle(&mut updates);
+        updates.truncate(max_len);
     }
-    news
+    updates
 }
--- a/crates/gateway/src/flow_state.rs
+++ b/crates/gateway/src/flow_state.rs
@@ -34,7 +34,7 @@
         if let Some(delay) = flow_control.retry_after.filter(|_| is_unavailable) {
             self.note_backoff(target, delay, now);
         }
-        let change = self.fleet().note_limit(server, flow_control.limit, sent_at, now);
+        let change = self.fleet().record_limit(server, flow_control.limit, sent_at, now);
         if let Some(change) = change {
             self.log_limit(server, change, "answer");
             // Reports at once: other gateways apply the previous limit until they hear of it.
@@ -44,7 +44,7 @@
 
     /// Applies and logs a backoff of `delay` that `target` requests.
     fn note_backoff(&self, target: &SendTarget, delay: Duration, now: Instant) {
-        let is_extended = self.fleet().note_backoff(target.incarnation, delay, now);
+        let is_extended = self.fleet().record_backoff(target.incarnation, delay, now);
         self.log_backoff(&target.server, delay, "answer");
         if is_extended {
             // Reports at once: other gateways return the backoff to this one after a restart.
@@ -56,7 +56,7 @@
     /// this gateway.
     pub fn hear_backoff(&self, news: BackoffUpdate) {
         let mut fleet = self.fleet();
-        if !fleet.hear_backoff(news, Instant::now()) {
+        if !fleet.apply_peer_backoff(news, Instant::now()) {
             return;
         }
         let server_state = fleet.server_by_incarnation(news.server);
@@ -78,7 +78,7 @@
 
     /// Applies a server's rate limit reported by another gateway, and logs a change.
     pub fn hear_limit(&self, news: LimitUpdate) {
-        let change = self.fleet().hear_limit(news, Instant::now());
+        let change = self.fleet().apply_peer_limit(news, Instant::now());
         if let Some(change) = change {
             self.log_limit(news.server, change, "gateway");
         }
@@ -92,7 +92,7 @@
     /// Applies a departure that a server has stated, and logs it if it is new.
     fn note_departure(&self, incarnation: ServerIncarnation, source: &'static str) {
         let mut fleet = self.fleet();
-        let Some(change) = fleet.note_departure(incarnation, Instant::now()) else { return };
+        let Some(change) = fleet.record_departure(incarnation, Instant::now()) else { return };
         let server_state = fleet.server_by_incarnation(incarnation);
         let server = server_state.map(|server_state| server_state.entry.server.clone());
         let version = server_state.map_or(0, |server_state| server_state.version);
@@ -116,7 +116,7 @@
         source: &'static str,
     ) {
         let fleet = self.fleet();
-        let share = fleet.own_limit_share(incarnation);
+        let share = fleet.local_limit_share(incarnation);
         let server = fleet
             .server_by_incarnation(incarnation)
             .map(|server_state| server_state.entry.server.clone());
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -188,9 +188,9 @@
     let now = Instant::now();
     let fleet = state.fleet();
     let (mut servers, mut running) = (0, 0);
-    for (server_state, others) in fleet.open_servers(&call.service, now) {
+    for (server_state, others) in fleet.available_servers(&call.service, now) {
         servers += 1;
-        running += server_state.own.plus(others.load).running;
+        running += server_state.local_load.plus(others.load).running;
     }
     tracing::info!(
         event = events::NO_ROOM,
@@ -288,7 +288,7 @@
         prefill = prefill.map(|server| &**server),
         domain = %server_state.entry.domain,
         row_version = server_state.version,
-        own = server_state.own.running,
+        own = server_state.local_load.running,
         all = load.running,
         prompt_tokens = load.prompt_tokens,
         output_tokens = load.output_tokens,
@@ -297,7 +297,7 @@
         own_prompt = shape.prompt_tokens,
         own_output = shape.expected_output(),
         own_limit = shape.output_limit,
-        failure_share = server_state.health.failure_share(now),
+        failure_share = server_state.health.failure_fraction(now),
         limit = fleet.limits.limit(server_state.incarnation).map(RequestRate::per_second),
         cost,
         attempt,
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -80,7 +80,8 @@
 pub fn send_target(state: &GatewayState, server: &str) -> Option<SendTarget> {
     let now = Instant::now();
     let mut fleet = state.fleet();
-    let server_state = fleet.server(server).filter(|server_state| server_state.is_open(now))?;
+    let server_state =
+        fleet.server(server).filter(|server_state| server_state.is_available(now))?;
     let target = SendTarget {
         server: server_state.entry.server.clone(),
         incarnation: server_state.incarnation,
@@ -128,7 +129,7 @@
     let head = C::reply_head(response.headers());
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
-        state.fleet().note_garbled(&target.server, Instant::now());
+        state.fleet().record_malformed(&target.server, Instant::now());
         let problem = format!("status {status}, answers {:?}", head.request_id);
         return Err(fail(state, call, target, SendFailure::Garbled, &problem));
     }
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -146,7 +146,7 @@
     let fleet = state.fleet();
     let answers = |stage| stage != ServerStage::Prefill;
     if !fleet
-        .open_servers(&call.service, now)
+        .available_servers(&call.service, now)
         .any(|(server_state, _)| answers(server_state.entry.stage))
     {
         return None;
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -235,7 +235,7 @@
         let prompt_tokens = self.call.prompt_shape().prompt_tokens;
         let stay = stream.hold.age();
         service_queues.with_balance(&self.call.service, |balance| {
-            balance.note_stream(prompt_tokens, made, stay);
+            balance.record_stream(prompt_tokens, made, stay);
         });
         self.state.note_outcome(&stream.target, ServerOutcome::Fine);
         if stream.is_delimited {
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -10,8 +10,8 @@
 use super::claim::may_claim;
 use super::order::give_order;
 use crate::cluster::StageChange;
+use crate::cluster::StageMonitor;
 use crate::cluster::StageSnapshot;
-use crate::cluster::StageWatch;
 use crate::cluster::choose_stage_change;
 use crate::cluster::stage_snapshot;
 use crate::codec::PlatformCodec;
@@ -43,7 +43,7 @@
 /// Keeps the pools in shape, for good.
 pub async fn run_stage_controller<C: PlatformCodec>(state: Arc<GatewayState>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
-    let mut watches: HashMap<ServiceName, StageWatch> = HashMap::new();
+    let mut watches: HashMap<ServiceName, StageMonitor> = HashMap::new();
     loop {
         smol::Timer::after(LOOK_EVERY).await;
         let Some(table) = state.table() else { continue };
@@ -52,11 +52,11 @@
             let watch = watches.entry(service.clone()).or_default();
             let now = Instant::now();
             let look = look(&state, service, spec, now);
-            let Some(change) = watch.look(look, now) else { continue };
+            let Some(change) = watch.update(look, now) else { continue };
             if !is_ours(&state, now) {
                 continue;
             }
-            watch.rest(now);
+            watch.start_cooldown(now);
             act::<C>(&state, &mut client, service, look, change).await;
         }
     }
@@ -71,13 +71,15 @@
     let own = state.service_queues.with_line(service, |line| line.len());
     let waiting = own + state.other_lines(service).waiting as usize;
     let look = stage_snapshot(&state.fleet(), service, waiting, now);
-    let wanted = state.learned(service).balance.wanted_readers(look.engines(), spec);
-    StageSnapshot { wanted, ..look }
+    let target_prefill =
+        state.learned(service).balance.target_prefill_servers(look.engines(), spec);
+    StageSnapshot { target_prefill, ..look }
 }
 
 fn is_ours(state: &GatewayState, now: Instant) -> bool {
     let fleet = state.fleet();
-    fleet.store_calm(now) >= CALM_TIME && fleet.peers.is_first(state.digest, CALM_TIME, now)
+    fleet.store_stable_duration(now) >= CALM_TIME
+        && fleet.peers.is_first(state.digest, CALM_TIME, now)
 }
 
 async fn act<C: PlatformCodec>(
@@ -111,7 +113,7 @@
         let may_still = || waking_clock().saturating_sub(begun) < ORDER_TIME;
         let given = give_order::<C>(state, &target, change.to, fence, may_still).await;
         if given.is_ok() {
-            state.fleet().begin_change(&server, change.to, Instant::now());
+            state.fleet().begin_stage_change(&server, change.to, Instant::now());
             state.work_changed.notify(1);
         }
         metrics::counter!("umberglade_orders_total").increment(1);
@@ -170,8 +172,8 @@
         prefill = look.prefill,
         prefill_busy = look.prefill_busy,
         decode = look.decode,
-        waiting = look.waiting,
-        wanted = look.wanted,
+        waiting = look.queued,
+        wanted = look.target_prefill,
         outcome,
         "engines should change their stage"
     );
--- a/crates/gateway/src/load_guard.rs
+++ b/crates/gateway/src/load_guard.rs
@@ -29,7 +29,7 @@
     /// Counts `work` at `server` from now on.
     pub fn begin(state: &Arc<GatewayState>, server: ServerKey, work: LoadShare) -> Self {
         let begun = Instant::now();
-        let incarnation = state.fleet().begin(&server, work, begun);
+        let incarnation = state.fleet().add_load(&server, work, begun);
         tell(state, work);
         LoadGuard { state: Arc::clone(state), server, incarnation, work, begun }
     }
@@ -48,7 +48,7 @@
             after.output_tokens = made + made / OUTGROWN_PART;
         }
         if let Some(incarnation) = self.incarnation {
-            self.state.fleet().change(&self.server, incarnation, self.work, after);
+            self.state.fleet().replace_load(&self.server, incarnation, self.work, after);
         }
         self.work = after;
     }
@@ -65,7 +65,7 @@
 impl Drop for LoadGuard {
     fn drop(&mut self) {
         if let Some(incarnation) = self.incarnation {
-            self.state.fleet().end(&self.server, incarnation, self.work);
+            self.state.fleet().remove_load(&self.server, incarnation, self.work);
         }
         tell(&self.state, self.work);
         self.state.room.notify(usize::MAX);
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -95,7 +95,7 @@
     // statement ends, so a second call in the same statement would deadlock.
     let loads = state.fleet().local_loads_for_peers();
     let limits = state.fleet().limits.news(true, now);
-    let departures = state.fleet().departures.news(true, now);
+    let departures = state.fleet().departures.updates(true, now);
     let charges = state.quotas.recent_news();
     let outcomes = state.quarantines.news(true);
     LoadReport {
@@ -130,10 +130,10 @@
     let loads = state.fleet().local_loads();
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
-    let store_calm = state.fleet().store_calm(now);
+    let store_calm = state.fleet().store_stable_duration(now);
     let limits = state.fleet().limits.news(tells_learned, now);
-    let departures = state.fleet().departures.news(tells_learned, now);
-    let backoffs = state.fleet().backoff_update(tells_learned, newcomers, now);
+    let departures = state.fleet().departures.updates(tells_learned, now);
+    let backoffs = state.fleet().backoff_updates(tells_learned, newcomers, now);
     LoadReport {
         reach: PeerReach::Near,
         peer: state.settings.instance.clone(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -167,13 +167,13 @@
         let server = &*target.server;
         let mut fleet = self.fleet();
         let was_aside =
-            fleet.server(server).is_some_and(|server_state| server_state.health.is_aside(now));
-        fleet.note(server, target.incarnation, outcome, now);
+            fleet.server(server).is_some_and(|server_state| server_state.health.is_ejected(now));
+        fleet.record_outcome(server, target.incarnation, outcome, now);
         let Some(server_state) = fleet.server(server) else { return };
-        let failure_share = server_state.health.failure_share(now);
-        let is_aside = server_state.health.is_aside(now);
+        let failure_share = server_state.health.failure_fraction(now);
+        let is_ejected = server_state.health.is_ejected(now);
         drop(fleet);
-        if is_aside && !was_aside {
+        if is_ejected && !was_aside {
             metrics::counter!("umberglade_server_aside_total").increment(1);
             tracing::warn!(
                 event = events::SERVER_ASIDE,
@@ -192,10 +192,10 @@
                 FleetChange::Joined(server) => (server, "joined"),
                 FleetChange::Leaving(server) => (server, "leaving"),
                 FleetChange::Removed(server) => (server, "removed"),
-                FleetChange::Lapsed(server) => (server, "lapsed"),
+                FleetChange::Expired(server) => (server, "lapsed"),
                 FleetChange::Restarted(server) => (server, "restarted"),
             };
-            if !matches!(change, FleetChange::Joined(_) | FleetChange::Lapsed(_)) {
+            if !matches!(change, FleetChange::Joined(_) | FleetChange::Expired(_)) {
                 self.pool.forget(server);
             }
             tracing::info!(event = events::SERVER_CHANGED, %server, version, outcome, "server changed");
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -81,7 +81,7 @@
                 RowNews::Removed => self.state.fleet().remove(&row.key, row.version, now),
                 RowNews::Unreadable(problem) => {
                     log_unreadable(StoreTable::Servers, &row, &problem);
-                    self.state.fleet().note_unreadable(&row.key, row.version);
+                    self.state.fleet().record_unreadable(&row.key, row.version);
                     None
                 }
             };
@@ -104,13 +104,13 @@
     }
 
     fn regained(&mut self) {
-        self.state.fleet().store_regained(Instant::now());
+        self.state.fleet().record_store_available(Instant::now());
         // Guards against a change made in the outage that the configuration's
         // long wait, on a connection from before, would not show.
         self.state.config_due.notify(usize::MAX);
     }
 
     fn read(&mut self) {
-        self.state.fleet().store_read(Instant::now());
+        self.state.fleet().record_store_read(Instant::now());
     }
 }
--- a/crates/gateway/tests/engine_estimates.rs
+++ b/crates/gateway/tests/engine_estimates.rs
@@ -28,7 +28,7 @@
         let read_ms = (100.0 + f64::from(prompt) / 55.0) * slowdown;
         learning.balance.reading.note(prompt, Duration::from_secs_f64(read_ms / 1000.0));
         let stay = Duration::from_secs_f64(3.0 * slowdown);
-        learning.balance.note_stream(prompt, 500, stay);
+        learning.balance.record_stream(prompt, 500, stay);
         learning.outputs.note(500, stay);
     }
     learning
@@ -41,12 +41,12 @@
 #[test]
 fn many_gateways_know_soon_what_none_knows_alone() {
     let each = learned(0..2, 1.0);
-    assert_eq!(each.balance.wanted_readers(ENGINES, &spec()), None);
+    assert_eq!(each.balance.target_prefill_servers(ENGINES, &spec()), None);
     assert_eq!(each.outputs.run_time(500), Duration::ZERO);
     let pool = EngineEstimates::pooled((0..25).map(|at| learned(at * 2..at * 2 + 2, 1.0)));
     let alone = learned(0..50, 1.0);
-    let wanted = pool.balance.wanted_readers(ENGINES, &spec()).expect("known together");
-    let expected = alone.balance.wanted_readers(ENGINES, &spec()).expect("known alone");
+    let wanted = pool.balance.target_prefill_servers(ENGINES, &spec()).expect("known together");
+    let expected = alone.balance.target_prefill_servers(ENGINES, &spec()).expect("known alone");
     assert!(wanted.abs_diff(expected) <= 2, "{wanted} for {expected}");
     let run_time = pool.outputs.run_time(500).as_secs_f64();
     assert!((run_time - 3.0).abs() < 0.1, "{run_time}");
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -134,7 +134,7 @@
                 let (peer, news) = (format!("gw-{from}"), PeerUpdate::default());
                 self.fleets[to].peers.note(&peer, 1, self.sequence, news, self.now);
                 for news in &limits {
-                    self.fleets[to].hear_limit(*news, self.now);
+                    self.fleets[to].apply_peer_limit(*news, self.now);
                 }
             }
         }
@@ -157,7 +157,7 @@
         let Ok(place) = place_plain(fleet, &need) else { return };
         let incarnation = fleet.server(&place.server).expect("a known server").incarnation;
         assert!(fleet.take_send_token(incarnation, self.now), "placed on a server without a token");
-        fleet.begin(&place.server, LoadShare::of_call(), self.now);
+        fleet.add_load(&place.server, LoadShare::of_call(), self.now);
         let server: usize = place.server[2..].parse().expect("a number");
         self.arrivals[server].push(self.now);
         self.calls.push((self.now + CALL_TIME, gateway, server));
@@ -177,14 +177,14 @@
             else {
                 continue;
             };
-            fleet.end(&key, incarnation, LoadShare::of_call());
+            fleet.remove_load(&key, incarnation, LoadShare::of_call());
             let is_limited = server < self.case.limited;
             let stated = if is_limited {
                 StatedLimit::Rate(rate(self.case.limit))
             } else {
                 StatedLimit::None
             };
-            fleet.note_limit(incarnation, stated, now - CALL_TIME, now);
+            fleet.record_limit(incarnation, stated, now - CALL_TIME, now);
         }
     }
 
--- a/crates/gateway/tests/load_share.rs
+++ b/crates/gateway/tests/load_share.rs
@@ -4,7 +4,7 @@
 use umberglade_gateway::model::PromptShape;
 
 /// Tokens of an engine's memory that are given out, of [`MEMORY`].
-const GIVEN_OUT: f64 = 0.95;
+const USABLE_FRACTION: f64 = 0.95;
 
 fn stream(prompt_tokens: u32, output: u32) -> LoadShare {
     LoadShare::of_stream(&PromptShape {
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_most_that_streams_will_hold() {
+fn peak_tokens_of_streams() {
     struct PeakCase {
         name: &'static str,
         /// Prompt, answer and what of it is made, for each stream.
@@ -49,8 +49,8 @@
         let load = case.streams.iter().fold(LoadShare::default(), |sum, (prompt, output, made)| {
             sum.plus(LoadShare { made_tokens: *made, ..stream(*prompt, *output) })
         });
-        let off = (load.peak_tokens() - case.peak).abs();
-        assert!(off <= case.peak * 0.03, "{}: {}", case.name, load.peak_tokens());
+        let error = (load.peak_tokens() - case.peak).abs();
+        assert!(error <= case.peak * 0.03, "{}: {}", case.name, load.peak_tokens());
     }
 }
 
@@ -60,14 +60,14 @@
 /// for when all had gone on: one in nine was pushed out, stood still for half a
 /// second and had its prompt read again.
 #[test]
-fn a_full_engine_pushes_nobody_out() {
+fn a_full_engine_preempts_no_stream() {
     const MEMORY: f64 = 62_000.0;
     const PROMPTS: [u32; 7] = [3000, 8000, 5000, 4000, 6500, 2500, 6000];
     const OUTPUTS: [u32; 5] = [3500, 2000, 5000, 2500, 4500];
     /// Tokens made between two looks.
     const STEP: u32 = 50;
     let mut running: Vec<(u32, u32, u32)> = Vec::new();
-    let (mut placed, mut ended, mut most) = (0, 0, 0.0f64);
+    let (mut placed, mut ended, mut max_held) = (0, 0, 0.0f64);
     for _ in 0..4000 {
         for stream in &mut running {
             stream.2 += STEP;
@@ -77,18 +77,22 @@
         ended += before - running.len();
         loop {
             let next = (PROMPTS[placed % PROMPTS.len()], OUTPUTS[placed % OUTPUTS.len()], 0);
-            let load = running.iter().chain([&next]).fold(LoadShare::default(), |sum, of| {
-                sum.plus(LoadShare { made_tokens: of.2, ..stream(of.0, of.1) })
-            });
-            if load.peak_tokens() > MEMORY * GIVEN_OUT {
+            let load =
+                running.iter().chain([&next]).fold(LoadShare::default(), |sum, stream_state| {
+                    sum.plus(LoadShare {
+                        made_tokens: stream_state.2,
+                        ..stream(stream_state.0, stream_state.1)
+                    })
+                });
+            if load.peak_tokens() > MEMORY * USABLE_FRACTION {
                 break;
             }
             running.push(next);
             placed += 1;
         }
         let held: u32 = running.iter().map(|(prompt, _, made)| prompt + made).sum();
-        most = most.max(f64::from(held));
+        max_held = max_held.max(f64::from(held));
     }
-    assert!(most <= MEMORY, "{most} tokens held, {ended} streams");
-    assert!(most >= MEMORY * 0.85, "{most} tokens held: room is wasted");
+    assert!(max_held <= MEMORY, "{max_held} tokens held, {ended} streams");
+    assert!(max_held >= MEMORY * 0.85, "{max_held} tokens held: room is wasted");
 }
--- a/crates/gateway/tests/server_backoffs.rs
+++ b/crates/gateway/tests/server_backoffs.rs
@@ -12,8 +12,8 @@
 use umberglade_gateway::model::ServerIncarnation;
 use umberglade_gateway::model::ServerStage;
 
-const OWN: u64 = 11;
-const OTHER: u64 = 12;
+const LOCAL: u64 = 11;
+const PEER: u64 = 12;
 const SERVER: u64 = 7;
 
 fn entry(server: &str) -> ServerEntry {
@@ -30,8 +30,8 @@
 }
 
 /// The fleet of the gateway `own` with one server, and the incarnation of that server.
-fn fleet(own: u64) -> (Fleet, ServerIncarnation) {
-    let mut fleet = Fleet::new(own);
+fn fleet(local_gateway: u64) -> (Fleet, ServerIncarnation) {
+    let mut fleet = Fleet::new(local_gateway);
     fleet.set_gateways(2);
     fleet.upsert(entry("a"), 1);
     let server = fleet.server("a").expect("a known server").incarnation;
@@ -40,8 +40,9 @@
 
 fn is_placed(fleet: &Fleet, now: Instant) -> bool {
     let domain: DomainKey = "z".into();
-    let need = PlacementRequest { service: "svc", gateway: OWN, domain: &domain, tried: &[], now };
-    place_plain(fleet, &need).is_ok()
+    let request =
+        PlacementRequest { service: "svc", gateway: LOCAL, domain: &domain, tried: &[], now };
+    place_plain(fleet, &request).is_ok()
 }
 
 /// Guards against a later rejection with a shorter delay that ends a backoff early.
@@ -76,13 +77,13 @@
     for case in cases {
         let mut backoffs = ServerBackoffs::default();
         for (arrived, delay) in case.rejections {
-            backoffs.note(SERVER, OWN, at(arrived + delay), at(*arrived));
+            backoffs.record(SERVER, LOCAL, at(arrived + delay), at(*arrived));
         }
         let until = at(case.until_ms);
         let before = until - Duration::from_millis(1);
-        assert_eq!(backoffs.until(SERVER, OWN, before), Some(until), "{}", case.name);
-        assert_eq!(backoffs.until(SERVER, OWN, until), None, "{}", case.name);
-        assert_eq!(backoffs.until(SERVER, OTHER, before), None, "{}", case.name);
+        assert_eq!(backoffs.until(SERVER, LOCAL, before), Some(until), "{}", case.name);
+        assert_eq!(backoffs.until(SERVER, LOCAL, until), None, "{}", case.name);
+        assert_eq!(backoffs.until(SERVER, PEER, before), None, "{}", case.name);
         backoffs.tick(|_| true, until);
         assert!(backoffs.is_empty(), "{}", case.name);
     }
@@ -90,12 +91,12 @@
 
 /// Guards against placing or sending requests during a backoff.
 #[test]
-fn nothing_is_sent_during_a_backoff() {
+fn no_request_is_sent_during_a_backoff() {
     let now = Instant::now();
-    let (mut fleet, server) = fleet(OWN);
+    let (mut fleet, server) = fleet(LOCAL);
     let until = now + Duration::from_secs(3);
     assert!(is_placed(&fleet, now));
-    assert!(fleet.note_backoff(server, Duration::from_secs(3), now));
+    assert!(fleet.record_backoff(server, Duration::from_secs(3), now));
     for at in [now, until - Duration::from_millis(1)] {
         assert!(!is_placed(&fleet, at));
         assert!(!fleet.take_send_token(server, at));
@@ -106,23 +107,26 @@
 
 /// Guards against a gateway that sends requests during a backoff after a restart.
 #[test]
-fn a_restarted_gateway_learns_its_backoffs_from_others() {
+fn a_restarted_gateway_learns_its_backoffs_from_peers() {
     let now = Instant::now();
-    let (mut before, server) = fleet(OWN);
-    before.note_backoff(server, Duration::from_secs(3), now);
-    let (mut other, _) = fleet(OTHER);
-    for news in before.backoff_update(false, &[], now) {
-        assert!(!other.hear_backoff(news, now), "the backoff of another gateway was applied");
+    let (mut before, server) = fleet(LOCAL);
+    before.record_backoff(server, Duration::from_secs(3), now);
+    let (mut peer, _) = fleet(PEER);
+    for updates in before.backoff_updates(false, &[], now) {
+        assert!(
+            !peer.apply_peer_backoff(updates, now),
+            "the backoff of another gateway was applied"
+        );
     }
-    assert!(is_placed(&other, now));
+    assert!(is_placed(&peer, now));
     let later = now + Duration::from_secs(1);
     assert!(
-        other.backoff_update(true, &[], later).is_empty(),
+        peer.backoff_updates(true, &[], later).is_empty(),
         "reports the backoff of another gateway"
     );
-    let (mut restarted, _) = fleet(OWN);
-    for news in other.backoff_update(true, &[OWN], later) {
-        assert!(restarted.hear_backoff(news, later));
+    let (mut restarted, _) = fleet(LOCAL);
+    for updates in peer.backoff_updates(true, &[LOCAL], later) {
+        assert!(restarted.apply_peer_backoff(updates, later));
     }
     assert!(!is_placed(&restarted, now + Duration::from_millis(2990)));
     assert!(is_placed(&restarted, now + Duration::from_millis(3010)));
@@ -137,11 +141,11 @@
     let now = Instant::now();
     let mut fleet = Fleet::new(u64::MAX);
     for server in 0..SERVERS {
-        fleet.note_backoff(u64::MAX - server, Duration::from_secs(3600), now);
-        fleet.note_departure(u64::MAX - server, now);
+        fleet.record_backoff(u64::MAX - server, Duration::from_secs(3600), now);
+        fleet.record_departure(u64::MAX - server, now);
     }
-    let news = (fleet.backoff_update(true, &[], now), fleet.departures.news(true, now));
-    let bytes = postcard::to_allocvec(&news).expect("plain fields").len();
-    assert!(!news.0.is_empty() && !news.1.is_empty());
+    let updates = (fleet.backoff_updates(true, &[], now), fleet.departures.updates(true, now));
+    let bytes = postcard::to_allocvec(&updates).expect("plain fields").len();
+    assert!(!updates.0.is_empty() && !updates.1.is_empty());
     assert!(bytes <= MAX_BYTES, "{bytes} bytes of departures and backoffs");
 }
