--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -1,4 +1,4 @@
-//! A server that may take a request, and what weighs for and against it.
+//! A server that may receive a request, and the costs by which servers are compared.
 
 use std::time::Instant;
 
@@ -15,54 +15,54 @@
 use crate::model::ServerKey;
 use crate::model::ServerStage;
 
-/// The share of an engine's memory that is given out: the rest takes up
-/// block rounding and answers longer than estimated, so that a request is
-/// rarely pushed out and its prompt read twice. Where engines hold ten streams
-/// or so, 0.90 pushes none out and places fewer in a burst (callers got 0.627 of
-/// the value of what they asked for, over thirty runs with bursts and faults);
-/// 0.95 pushes out one in 800 (0.639); 1.0 one in 50 (0.642, with 13 to 20
-/// prompts a run read twice).
+/// Fraction of an engine's KV cache that placement uses. The rest absorbs block rounding and
+/// responses longer than estimated, so that a request is rarely preempted and its prompt prefilled
+/// twice.
+///
+/// For engines that hold about ten streams, over thirty runs with bursts and faults: 0.90 preempts
+/// none but places fewer in a burst (callers get 0.627 of the value of what they request); 0.95
+/// preempts one in 800 (0.639); 1.0 preempts one in 50 (0.642, with 13 to 20 prompts per run
+/// prefilled twice).
 const USABLE_MEMORY_FRACTION: f64 = 0.95;
-/// What failing always weighs against the server being full once over.
+/// Cost of a server at which every attempt fails, in multiples of a full server.
 const FAILURE_WEIGHT: f64 = 4.0;
-/// What each gateway that passes a server over weighs, up to three of them.
+/// Cost of each peer that has ejected the server, for up to three peers.
 const PEER_EJECTION_WEIGHT: f64 = 0.7;
-/// This many other gateways that pass a server over are believed outright.
+/// Number of peers that must have ejected a server for it to count as ejected here too.
 const MIN_EJECTING_PEERS: u32 = 2;
-/// Prompt tokens an engine reads in a millisecond, for weighing a queue
-/// against a transfer between failure domains; measured on engines that read
-/// 55. It refuses nobody.
+/// Prompt tokens that an engine prefills in a millisecond, for weighing a queue against a transfer
+/// between failure domains. Matches engines that prefill 55. Never causes a rejection by itself.
 pub(super) const PREFILL_TOKENS_PER_MS: f64 = 55.0;
-/// Milliseconds that an engine's being wholly full weighs.
+/// Cost of a full engine, in milliseconds.
 pub(super) const FULL_SERVER_MS: f64 = 400.0;
 
-/// A server that may take the request, with what the other gateways tell of
-/// it: looked up once, however many costs are weighed.
+/// A server that may receive the request, with the totals that peers report for it. Looked up once,
+/// however many costs are computed.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
     pub server_state: &'a ServerState,
     pub peers: ServerSum,
-    /// False while the server's rate limit keeps this gateway from sending to it.
+    /// False while a backoff or the server's rate limit keeps this gateway from sending to it.
     pub may_send: bool,
-    /// What its failures weigh, ours and those that others saw, in shares of
-    /// a full server.
+    /// Cost of failures, both observed by this gateway and reported by peers, in multiples of a
+    /// full server.
     pub failure_cost: f64,
 }
 
 impl Candidate<'_> {
-    /// Work there, ours and the other gateways'.
+    /// Returns the load of this gateway and its peers on the server.
     pub fn load(&self) -> LoadShare {
         self.server_state.local_load.plus(self.peers.load)
     }
 
-    /// True when we pass the server over, or enough of the other gateways do
-    /// that it is hardly their paths.
+    /// Returns true when this gateway has ejected the server, or when so many peers have that their
+    /// network paths are hardly the cause.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.server_state.health.is_ejected(now) || self.peers.aside >= MIN_EJECTING_PEERS
     }
 
-    /// How full the engine would be with a stream of `shape`, from 0 to 1;
-    /// `None` when it has no room for it.
+    /// Returns how full the engine would be with a stream of `shape`, from 0 to 1; `None` when it
+    /// has no capacity for it.
     pub fn occupancy_with(&self, spec: &EngineSpec, shape: &PromptShape) -> Option<f64> {
         let load = self.load();
         let slots = if spec.slots > 0 { spec.slots } else { self.server_state.entry.slots };
@@ -74,20 +74,20 @@
         (occupancy <= 1.0).then_some(occupancy)
     }
 
-    /// Milliseconds that a prompt waits there for those before it, with what
-    /// failures weigh.
+    /// Returns how long a prompt is queued behind others at the server, in milliseconds, plus the
+    /// cost of failures.
     pub fn prefill_cost(&self) -> f64 {
         let queued = f64::from(self.load().prompt_tokens) / PREFILL_TOKENS_PER_MS;
         queued + self.failure_cost * FULL_SERVER_MS
     }
 }
 
-/// Most services have no more.
+/// The inline capacity covers the servers of most services.
 pub(super) type Candidates<'a> = SmallVec<[Candidate<'a>; 32]>;
 
-/// The servers that may take the request now: not tried yet and not set aside;
-/// set aside ones too when there are no others, since a guess that one is
-/// down must never refuse a request by itself.
+/// Returns the servers that may receive the request now: those that are neither tried yet nor
+/// ejected. Includes ejected servers when there are no others, since an estimate that a server is
+/// down must never be the only reason to reject a request.
 pub(super) fn candidates<'a>(
     fleet: &'a Fleet,
     request: &PlacementRequest<'_>,
@@ -98,7 +98,7 @@
     healthy_or_all(&available, request.now, |_| true)
 }
 
-/// The servers that are open to the request, whatever their record.
+/// Returns the servers that are available to the request, whatever their health.
 pub(super) fn available_candidates<'a>(
     fleet: &'a Fleet,
     request: &PlacementRequest<'_>,
@@ -117,8 +117,8 @@
         .collect()
 }
 
-/// Those of a suitable stage that are not set aside, or all of that stage if
-/// there are no others.
+/// Returns the servers of a suitable stage that are not ejected, or all of that stage if there are
+/// no others.
 pub(super) fn healthy_or_all<'a>(
     available: &[Candidate<'a>],
     now: Instant,
@@ -130,7 +130,7 @@
     if healthy.is_empty() { suitable().copied().collect() } else { healthy }
 }
 
-/// The candidate of the least cost; equal ones are drawn from.
+/// Returns the candidate with the lowest cost. Equal ones are chosen from at random.
 pub(super) fn cheapest(
     candidates: &[Candidate<'_>],
     cost: impl Fn(&Candidate<'_>) -> f64,
@@ -143,15 +143,14 @@
         .ok_or(PlacementError::NoServer)
 }
 
-/// What our own failures there weigh, and those of the other gateways: a
-/// server that one of them passes over is likely down for all, though only
-/// this one's path may be.
+/// Returns the cost of failures observed by this gateway and of ejections by peers. A server that
+/// one peer has ejected is likely down for all, although only that peer's path to it may be.
 fn failure_cost(server_state: &ServerState, peers: ServerSum, now: Instant) -> f64 {
     let peer_count = f64::from(peers.aside.min(3));
     server_state.health.failure_fraction(now) * FAILURE_WEIGHT + peer_count * PEER_EJECTION_WEIGHT
 }
 
-/// The tokens of an engine's memory that are given out.
+/// Returns the number of an engine's KV cache tokens that placement uses.
 pub(super) fn usable_tokens(spec: &EngineSpec) -> f64 {
     f64::from(spec.kv_tokens.max(1)) * USABLE_MEMORY_FRACTION
 }
--- a/crates/gateway/src/cluster/domain_prefill_servers.rs
+++ b/crates/gateway/src/cluster/domain_prefill_servers.rs
@@ -1,4 +1,4 @@
-//! The prefill servers worth choosing, one a failure domain.
+//! The prefill servers worth choosing: one per failure domain.
 
 use smallvec::SmallVec;
 
@@ -6,20 +6,19 @@
 use crate::model::DomainKey;
 use crate::model::ServerKey;
 
-/// What fetching the KV cache from another failure domain weighs, in
-/// milliseconds of prefill queue: such transfers take twice as long, and
-/// their bytes are paid for.
+/// Cost of fetching the KV cache from another failure domain, in milliseconds of prefill queue.
+/// Such transfers take twice as long, and their traffic is paid for.
 const CROSS_DOMAIN_TRANSFER_MS: f64 = 120.0;
 
-/// The cheapest prefill server of each failure domain, found once a decision:
-/// once for each pair of engines grows with the square of a site.
+/// The cheapest prefill server of each failure domain, computed once per placement. The cost of
+/// comparing each pair of engines would grow with the square of the site's size.
 #[derive(Debug)]
 pub(super) struct DomainPrefillServers<'a> {
     cheapest: SmallVec<[(Candidate<'a>, f64); 8]>,
 }
 
 impl<'a> DomainPrefillServers<'a> {
-    /// The cheapest of `readers` in each domain by `cost`.
+    /// Finds the cheapest of `prefill_servers` in each domain by `cost`.
     pub fn new(prefill_servers: &[Candidate<'a>], cost: impl Fn(&Candidate<'_>) -> f64) -> Self {
         let mut cheapest: SmallVec<[(Candidate<'a>, f64); 8]> = SmallVec::new();
         for prefill_server in prefill_servers {
@@ -36,8 +35,8 @@
         DomainPrefillServers { cheapest }
     }
 
-    /// The cheapest for a decode server in `domain` at which no more than
-    /// `longest_queue` tokens wait, and its cost with the transfer's.
+    /// Returns the cheapest prefill server for a decode server in `domain` at which no more than
+    /// `max_queued_tokens` are queued, and its cost including the transfer.
     pub fn cheapest_for(
         &self,
         domain: &DomainKey,
@@ -54,7 +53,7 @@
     }
 }
 
-/// What a transfer between two failure domains weighs, in milliseconds.
+/// Returns the cost of a transfer between two failure domains, in milliseconds.
 pub(super) fn transfer_cost(from: &DomainKey, to: &DomainKey) -> f64 {
     if from == to { 0.0 } else { CROSS_DOMAIN_TRANSFER_MS }
 }
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -1,4 +1,4 @@
-//! The backend servers, as far as the store and our own requests tell.
+//! The known backend servers, from the rows of the store and this gateway's own requests.
 
 use std::cmp::Ordering;
 use std::time::Duration;
@@ -24,29 +24,27 @@
 use crate::model::ServiceName;
 use crate::model::StoreVersion;
 
-/// How long an entry that lapsed in an outage of the store still counts
-/// after its return: live servers are back within about two seconds.
+/// How long a server whose row expired in an outage of the store is kept after the store is
+/// available again. Live servers are registered again within about 2 s.
 const EXPIRY_GRACE_PERIOD: Duration = Duration::from_millis(2200);
 
-/// Not read for this long, the table counts as not read: longer than any
-/// read waits.
+/// Age of the last read from which on the table counts as not read. Longer than any read waits.
 const STALE_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// How long an engine that was told to change its stage gets no work unless
-/// its registration shows the change: it lets its work end, is away for some
-/// 6 s, and registers within a heartbeat.
+/// How long an engine that was ordered to change its stage receives no work unless its registration
+/// shows the change. It lets its work end, is away for about 6 s, and registers within a heartbeat.
 const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// How long a server is passed over that has said it is another than its row
-/// tells of: a row that nobody renews is gone after three heartbeats of 1.2 s,
-/// and one that is renewed with nothing new in it is told to nobody.
+/// How long a server is skipped after stating that it is another one than its row describes. A row
+/// that is not renewed is gone after three heartbeats of 1.2 s, and a row that is renewed without
+/// changes is not reported to any gateway.
 const OUTDATED_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// How long a removed server is remembered: older rows of it may come late
-/// for as long as the store keeps its history, some 20 s.
+/// How long a removed server is remembered. Older rows of it may arrive late for as long as the
+/// store keeps its history, about 20 s.
 const REMOVED_RETENTION: Duration = Duration::from_secs(60);
 
-/// What is remembered of a server that was removed.
+/// What is kept of a removed server.
 #[derive(Debug)]
 struct RemovedServer {
     version: StoreVersion,
@@ -58,8 +56,7 @@
 #[derive(Debug, Default)]
 pub struct Fleet {
     pub(super) servers: FxHashMap<ServerKey, ServerState>,
-    /// Invariant: each id in `servers` stands here once, under its entry's
-    /// service.
+    /// Invariant: each id in `servers` is listed here once, under the service of its entry.
     pub(super) services: FxHashMap<ServiceName, Vec<ServerKey>>,
     pub peers: PeerReports,
     pub limits: ServerLimits,
@@ -67,47 +64,46 @@
     pub backoffs: ServerBackoffs,
     /// This gateway's digest.
     pub(super) digest: u64,
-    /// Gateways that share the servers, this one included.
+    /// Number of gateways that share the servers, including this one.
     pub(super) gateways: usize,
-    /// Engines that this gateway has told to change their stage, and until
-    /// when they count as changing at most.
+    /// Engines that this gateway has ordered to change their stage: the new stage, and the time
+    /// until which they count as changing at most.
     stage_changes: FxHashMap<ServerKey, (ServerStage, Instant)>,
-    /// So that a late row of before brings none back.
+    /// Recently removed servers, so that a late row from before the removal does not add one again.
     removed: FxHashMap<ServerKey, RemovedServer>,
     grace_until: Option<Instant>,
     /// Since when the table has been read without an outage.
     stable_since: Option<Instant>,
-    /// When it was read last.
+    /// When the table was last read.
     read_at: Option<Instant>,
 }
 
 impl Fleet {
-    /// The servers as the gateway with digest `own` sees them: none yet.
+    /// Creates the fleet of the gateway with this digest, without any servers.
     pub fn new(digest: u64) -> Self {
         Fleet { digest, ..Fleet::default() }
     }
 
-    /// The store answers again after an outage: entries that are missing
-    /// from now on count for a while longer.
+    /// Records that the store is available again after an outage. Servers whose rows are missing
+    /// from now on are kept for a grace period.
     ///
-    /// Guards against taking every server for gone when the store's own
-    /// outage kept them from renewing: all requests would be refused
-    /// though the servers are well. Where another gateway has read the store
-    /// for as long as that takes, the store has been back, or was never
-    /// away: only our own path was cut, and what is missing is gone.
+    /// Prevents all servers from being removed because the store's own outage kept them from
+    /// renewing their rows: every request would be rejected although the servers are up. If a peer
+    /// has read the store for at least the grace period, the store was available again before, or
+    /// was never unavailable: only this gateway's path was cut, and servers with missing rows are
+    /// gone.
     pub fn record_store_available(&mut self, now: Instant) {
         self.grace_until = Some(now + EXPIRY_GRACE_PERIOD);
         self.stable_since = Some(now);
     }
 
-    /// The table was read.
+    /// Records that the table was read.
     pub fn record_store_read(&mut self, now: Instant) {
         self.stable_since.get_or_insert(now);
         self.read_at = Some(now);
     }
 
-    /// For how long the table has been read without an outage; zero while it
-    /// is not read.
+    /// Returns how long the table has been read without an outage; zero while it is not read.
     pub fn store_stable_duration(&self, now: Instant) -> Duration {
         let is_read =
             self.read_at.is_some_and(|at| now.saturating_duration_since(at) < STALE_READ_TIMEOUT);
@@ -115,13 +111,13 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Until when missing entries may only have lapsed.
+    /// Returns the time until which missing rows may only have expired.
     fn expiry_grace_end(&self, now: Instant) -> Option<Instant> {
         let until = self.grace_until.filter(|until| now < *until)?;
         (!self.peers.has_read_for(EXPIRY_GRACE_PERIOD, now)).then_some(until)
     }
 
-    /// Takes in a server's row.
+    /// Applies a server's row.
     pub fn upsert(&mut self, entry: ServerEntry, version: StoreVersion) -> Option<FleetChange> {
         let is_outdated_row = |removed: &RemovedServer| {
             removed.version >= version || entry.started_at < removed.started_at
@@ -133,7 +129,7 @@
             return self.insert(entry, version);
         };
         match entry.started_at.cmp(&known.entry.started_at) {
-            // News of an earlier start, written late.
+            // A late row of an earlier incarnation.
             Ordering::Less => None,
             Ordering::Equal if entry.service == known.entry.service => {
                 update(known, entry, version)
@@ -153,11 +149,11 @@
         (!is_leaving).then_some(FleetChange::Joined(key))
     }
 
-    /// Forgets what was believed of a server's earlier start.
+    /// Discards the state of a server's previous incarnation.
     ///
-    /// Guards against judging a process by the one before it: counts of work
-    /// that ended with it would keep the server looking full, its leaving would
-    /// keep work away, and an order meant for it would change the new one.
+    /// Prevents a process from being judged by its predecessor: load that ended with it would keep
+    /// the server looking full, its departure would keep work away, and a stage change meant for it
+    /// would apply to the new process.
     fn restart(&mut self, entry: ServerEntry, version: StoreVersion) -> FleetChange {
         let key = entry.server.clone();
         if let Some(before) = self.servers.remove(&key) {
@@ -168,8 +164,8 @@
         FleetChange::Restarted(key)
     }
 
-    /// A server's row holds what is no registration: until it holds one again,
-    /// it names no server to use.
+    /// Records that a server's row holds no valid registration. The server is not used until the
+    /// row holds one again.
     pub fn record_unreadable(&mut self, key: &str, version: StoreVersion) {
         if let Some(known) = self.servers.get_mut(key)
             && version > known.version
@@ -180,7 +176,7 @@
         }
     }
 
-    /// Takes in that a server's row was removed at `version`.
+    /// Applies the removal of a server's row at `version`.
     pub fn remove(
         &mut self,
         key: &str,
@@ -201,7 +197,7 @@
         self.drop_server(key, version, now)
     }
 
-    /// Takes in a whole listing as of `version`: what it lacks is removed.
+    /// Applies a complete listing as of `version`. Servers that it lacks are removed.
     pub fn replace(
         &mut self,
         listing: ServerListing,
@@ -221,7 +217,7 @@
         changes
     }
 
-    /// Drops servers whose grace has passed; call about once a second.
+    /// Removes servers whose grace period has ended. Must be called about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<FleetChange> {
         self.peers.forget_old(now);
         self.stage_changes.retain(|_, (_, until)| now < *until);
@@ -247,17 +243,17 @@
         expired.iter().filter_map(|(key, version)| self.drop_server(key, *version, now)).collect()
     }
 
-    /// True when any limit, departure or backoff stated by a server is known.
+    /// Returns true when any limit, departure or backoff stated by a server is known.
     fn has_flow_control(&self) -> bool {
         !(self.limits.is_empty() && self.departures.is_empty() && self.backoffs.is_empty())
     }
 
-    /// An engine was told to change to `stage`: until it has, it refuses work.
+    /// Records that an engine was ordered to change to `stage`. Until it has, it rejects work.
     pub fn begin_stage_change(&mut self, key: &str, stage: ServerStage, now: Instant) {
         self.stage_changes.insert(key.into(), (stage, now + STAGE_CHANGE_TIMEOUT));
     }
 
-    /// Engines that we have told to change, for a report to the peers.
+    /// Returns the engines that this gateway has ordered to change, for a report to its peers.
     pub fn local_stage_changes(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
@@ -274,22 +270,20 @@
                 .is_some_and(|(stage, until)| server_state.entry.stage != *stage && now < *until)
     }
 
-    /// One server.
     pub fn server(&self, key: &str) -> Option<&ServerState> {
         self.servers.get(key)
     }
 
-    /// The server that runs as `incarnation`.
     pub fn server_by_incarnation(&self, incarnation: ServerIncarnation) -> Option<&ServerState> {
         self.servers.values().find(|server_state| server_state.incarnation == incarnation)
     }
 
-    /// Work at a server, ours and the other gateways'.
+    /// Returns the load of this gateway and its peers on a server.
     pub fn load(&self, server_state: &ServerState, now: Instant) -> LoadShare {
         server_state.local_load.plus(self.peers.server(server_state.incarnation, now).load)
     }
 
-    /// Our own work at each server that has any, for a report to the peers.
+    /// Returns this gateway's load on each server that has any, for a report to its peers.
     pub fn local_loads(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
@@ -298,8 +292,8 @@
             .collect()
     }
 
-    /// Servers that we pass over ourselves, or that are not what their row
-    /// tells, for a report to the peers.
+    /// Returns the servers that this gateway has ejected, or that are not what their row describes,
+    /// for a report to its peers.
     pub fn local_ejections(&self, now: Instant) -> Vec<u64> {
         self.servers
             .values()
@@ -308,8 +302,8 @@
             .collect()
     }
 
-    /// Counts work that is being sent to a server; the start of the server at
-    /// which it counts, if the server is known.
+    /// Adds the load of a request that is being sent to a server. Returns the incarnation of the
+    /// server to which it is added, if the server is known.
     pub fn add_load(
         &mut self,
         key: &str,
@@ -322,7 +316,7 @@
         Some(server_state.incarnation)
     }
 
-    /// Work at a start of a server has changed from `before` to `after`.
+    /// Replaces the load `before` on an incarnation of a server by `after`.
     pub fn replace_load(
         &mut self,
         key: &str,
@@ -335,14 +329,14 @@
         }
     }
 
-    /// Work at a start of a server has ended.
+    /// Removes the load of work that has ended from an incarnation of a server.
     pub fn remove_load(&mut self, key: &str, incarnation: ServerIncarnation, work: LoadShare) {
         if let Some(server_state) = self.server_at(key, incarnation) {
             server_state.local_load = server_state.local_load.minus(work);
         }
     }
 
-    /// Notes how a send to a start of a server ended.
+    /// Records how an attempt at an incarnation of a server ended.
     pub fn record_outcome(
         &mut self,
         key: &str,
@@ -351,34 +345,31 @@
         now: Instant,
     ) {
         let Some(server_state) = self.server_at(key, incarnation) else { return };
-        // Guards against prompts and streams that all go to a server which has
-        // been replaced at its address: each is rejected and counts as a
-        // repeat, 160 in 10 s when a third of 12 engines started anew. Its row
-        // is a heartbeat old; the next tells what is there.
+        // Prevents prompts and streams from all going to a server that has been replaced at its
+        // address: each is rejected and counts as a retry, 160 in 10 s when a third of 12 engines
+        // restart. The row is a heartbeat old; the next one describes the new server.
         if outcome == ServerOutcome::Misdirected {
             server_state.outdated_until = Some(now + OUTDATED_TIMEOUT);
         }
         server_state.health.record(outcome, now);
     }
 
-    /// A server, if it has not started again since `incarnation`.
+    /// Returns a server if `incarnation` is still its current one.
     fn server_at(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerState> {
         self.servers.get_mut(key).filter(|server_state| server_state.incarnation == incarnation)
     }
 
-    /// Notes stray bytes on a connection to a server.
+    /// Records stray bytes on a connection to a server.
     pub fn record_malformed(&mut self, key: &str, now: Instant) {
         if let Some(server_state) = self.servers.get_mut(key) {
             server_state.health.record_malformed(now);
         }
     }
 
-    /// Servers known.
     pub fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// True when no server is known.
     pub fn is_empty(&self) -> bool {
         self.servers.is_empty()
     }
@@ -404,9 +395,8 @@
     }
 }
 
-/// Takes a newer row into a known belief. A server that has announced its
-/// leaving never counts as staying again: it ends in any case, and an older
-/// row may come late.
+/// Applies a newer row to a known server. A server that has announced its departure never counts as
+/// staying again: it ends in any case, and an older row may arrive late.
 fn update(
     known: &mut ServerState,
     mut entry: ServerEntry,
--- a/crates/gateway/src/cluster/fleet_change.rs
+++ b/crates/gateway/src/cluster/fleet_change.rs
@@ -1,25 +1,26 @@
-//! What is read of the servers' table, and what it changes.
+//! Listings of the servers' table, and the changes that rows make to the fleet.
 
 use crate::model::ServerEntry;
 use crate::model::ServerKey;
 use crate::model::StoreVersion;
 
-/// What a row changed.
+/// A change that a row makes to the fleet.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FleetChange {
     Joined(ServerKey),
     Leaving(ServerKey),
     Removed(ServerKey),
-    /// Missing after an outage; counts as gone unless it is back in time.
+    /// The row is missing after an outage of the store. The server counts as gone unless it is back
+    /// in time.
     Expired(ServerKey),
-    /// Started again under its id.
+    /// The server was started again under its id.
     Restarted(ServerKey),
 }
 
-/// A whole listing of the servers' table.
+/// A complete listing of the servers' table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ServerListing {
     pub entries: Vec<(ServerEntry, StoreVersion)>,
-    /// Rows that hold no registration.
+    /// Rows that hold no valid registration.
     pub unreadable: Vec<(ServerKey, StoreVersion)>,
 }
--- a/crates/gateway/src/cluster/fleet_departures.rs
+++ b/crates/gateway/src/cluster/fleet_departures.rs
@@ -1,4 +1,4 @@
-//! Closes servers to new work when they state in their answers that they are leaving.
+//! Makes servers unavailable to new work when they state in their responses that they are draining.
 
 use std::time::Instant;
 
@@ -7,8 +7,8 @@
 use crate::model::ServerIncarnation;
 
 impl Fleet {
-    /// Records that `server` has stated that it is leaving, and closes it to new work.
-    /// Returns the change if the server is listed and was not leaving before.
+    /// Records that `server` has stated that it is draining, and makes it unavailable to new work.
+    /// Returns the change if the server is listed and was not draining before.
     ///
     /// Does not wait for the server's row, which is late while the store is unavailable.
     pub fn record_departure(
--- a/crates/gateway/src/cluster/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -18,8 +18,7 @@
 use crate::model::StatedLimit;
 
 impl Fleet {
-    /// Applies the limit that an answer of `server` to a request sent at `sent_at`
-    /// states.
+    /// Applies the limit that a response of `server` to a request sent at `sent_at` states.
     pub fn record_limit(
         &mut self,
         server: ServerIncarnation,
@@ -32,7 +31,7 @@
         Some(change)
     }
 
-    /// Applies a limit reported by another gateway.
+    /// Applies a limit reported by a peer.
     pub fn apply_peer_limit(
         &mut self,
         update: LimitUpdate,
@@ -43,7 +42,7 @@
         Some(change)
     }
 
-    /// Records that `server` requests a backoff of `delay` from this gateway; true when it
+    /// Records that `server` requests a backoff of `delay` from this gateway. Returns true when it
     /// ends later than the known one.
     pub fn record_backoff(
         &mut self,
@@ -54,16 +53,16 @@
         self.backoffs.record(server, self.digest, now + delay, now)
     }
 
-    /// Applies a backoff reported by another gateway; true when it concerns this gateway and
-    /// ends later than the known one.
+    /// Applies a backoff reported by a peer. Returns true when it concerns this gateway and ends
+    /// later than the known one.
     pub fn apply_peer_backoff(&mut self, update: BackoffUpdate, now: Instant) -> bool {
         let until = now + Duration::from_millis(u64::from(update.left_ms));
         self.backoffs.record(update.server, update.gateway, until, now)
             && update.gateway == self.digest
     }
 
-    /// The backoffs that a report includes: recent ones of this gateway, or with `tells_all`
-    /// all of them, and all known ones of `newcomers`.
+    /// Returns the backoffs that a report includes: recent ones of this gateway, or with
+    /// `reports_all` all of them, and all known ones of `newcomers`.
     pub fn backoff_updates(
         &self,
         reports_all: bool,
@@ -75,28 +74,28 @@
         self.backoffs.updates(self.digest, reports_all_of, now)
     }
 
-    /// True when no backoff of the server is in force for this gateway and its rate limit
+    /// Returns true when no backoff of the server is in force for this gateway and its rate limit
     /// allows a request now.
     pub(super) fn may_send(&self, server_state: &ServerState, now: Instant) -> bool {
         let server = server_state.incarnation;
         self.backoffs.until(server, self.digest, now).is_none() && self.limits.may_send(server, now)
     }
 
-    /// True when the server with the id `key` states a limit.
+    /// Returns true when the server with the id `key` states a limit.
     pub fn has_limit(&self, key: &str) -> bool {
         self.server(key)
             .is_some_and(|server_state| self.limits.limit(server_state.incarnation).is_some())
     }
 
-    /// Takes a token for a request that is about to be sent to `server`; false when a
+    /// Takes a token for a request that is about to be sent to `server`. Returns false when a
     /// backoff or its rate limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         self.backoffs.until(server, self.digest, now).is_none()
             && self.limits.take_send_token(server, now)
     }
 
-    /// The earliest time at which a server of `service` whose stage `suits` accepts may be
-    /// sent a request by this gateway; `None` when there is no such server.
+    /// Returns the earliest time at which this gateway may send a request to a server of `service`
+    /// whose stage `suits` accepts; `None` when there is no such server.
     pub fn next_send_at(
         &self,
         service: &str,
@@ -109,7 +108,7 @@
             .min()
     }
 
-    /// When this gateway may send the next request to `server`; `None` when it has no share
+    /// Returns when this gateway may send the next request to `server`; `None` when it has no share
     /// of its limit.
     fn next_send_to(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
         let by_limit = self.limits.next_send_at(server, now)?;
@@ -117,13 +116,13 @@
         Some(backoff_end.map_or(by_limit, |end| end.max(by_limit)))
     }
 
-    /// This gateway's share of the limit of `server`, in requests per second.
+    /// Returns this gateway's share of the limit of `server`, in requests per second.
     pub fn local_limit_share(&self, server: ServerIncarnation) -> Option<f64> {
         let limit = self.limits.limit(server)?;
         Some(self.local_share(self.server_by_incarnation(server)?, limit))
     }
 
-    /// Recomputes this gateway's share of each limit from the gateways now heard.
+    /// Recomputes this gateway's share of each limit from the peers that currently report.
     pub(super) fn update_shares(&mut self, now: Instant) {
         let shares: Vec<(ServerIncarnation, f64)> = self
             .servers
--- a/crates/gateway/src/cluster/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -1,4 +1,4 @@
-//! The servers that a gateway sends work to: those of its shard.
+//! Selects the servers that a gateway sends work to: those of its shard.
 
 use std::time::Instant;
 
@@ -10,27 +10,26 @@
 use super::server_shards::shares_shard;
 
 impl Fleet {
-    /// Takes in how many gateways share the servers, this one included.
+    /// Sets the number of gateways that share the servers, including this one.
     pub fn set_gateways(&mut self, gateways: usize) {
         self.gateways = gateways;
     }
 
-    /// Into how many shards the servers of `service` are divided.
+    /// Returns the number of shards into which the servers of `service` are divided.
     pub(super) fn shards(&self, service: &str) -> u64 {
         let servers = self.services.get(service).map_or(0, Vec::len);
         shard_count(self.gateways, servers)
     }
 
-    /// The number of shards by which gateways are near each other: the fewest of
-    /// all services that are sharded.
+    /// Returns the number of shards that decides which peers are in the local shard: the smallest
+    /// of all services that are sharded.
     pub fn peer_shards(&self) -> u64 {
         let counts = self.services.keys().map(|service| self.shards(service));
         counts.filter(|count| *count > 1).min().unwrap_or(1)
     }
 
-    /// The servers of `service` that may get new work, each with what the
-    /// other gateways tell of it: those of this gateway's shard, or all where that
-    /// has none.
+    /// Returns the servers of `service` that are available to new work, each with the totals that
+    /// peers report for it: those of this gateway's shard, or all if that shard has none.
     pub fn available_servers<'a>(
         &'a self,
         service: &str,
@@ -44,7 +43,7 @@
             .filter(|(_, peer_sum)| peer_sum.changing == 0)
     }
 
-    /// The open servers of `service` in this gateway's one of `shards`.
+    /// Returns the available servers of `service` in this gateway's one of `shards`.
     fn available_in_shard<'a>(
         &'a self,
         service: &str,
@@ -58,7 +57,7 @@
             .filter(move |state| state.is_available(now) && !self.is_changing_stage(state, now))
     }
 
-    /// The same at servers that gateways of all shards use.
+    /// Returns this gateway's load on servers that gateways of all shards use.
     pub fn local_loads_for_peers(&self) -> Vec<(u64, LoadShare)> {
         self.servers
             .values()
--- a/crates/gateway/src/cluster/incarnation_table.rs
+++ b/crates/gateway/src/cluster/incarnation_table.rs
@@ -7,11 +7,11 @@
 
 use crate::model::ServerIncarnation;
 
-/// How long the value of a server that is no longer listed is kept, in case its row has
-/// only lapsed.
+/// How long the value of a server that is no longer listed is kept, in case its row has only
+/// expired.
 const UNLISTED_RETENTION: Duration = Duration::from_secs(60);
-/// Maximum number of servers in the table. Bounds its memory, since values
-/// reported by other gateways are not verified.
+/// Maximum number of servers in the table. Bounds its memory, since values reported by peers are
+/// not verified.
 const MAX_SERVERS: usize = 4096;
 
 /// Values stated by servers, at most one per server incarnation.
@@ -42,7 +42,7 @@
         self.entries.get_mut(&server).map(|entry| &mut entry.value)
     }
 
-    /// The value of `server`, inserted from `default` if absent; `None` when `server` is
+    /// Returns the value of `server`, inserted from `default` if absent; `None` when `server` is
     /// absent and the table is full.
     pub fn get_or_insert_with(
         &mut self,
--- a/crates/gateway/src/cluster/load_share.rs
+++ b/crates/gateway/src/cluster/load_share.rs
@@ -1,30 +1,29 @@
-//! Work at one server.
+//! Load on one server.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::model::PromptShape;
 
-/// The most that another gateway's report counts for, in each field: far more
-/// than one gateway can have at one server, and little enough that the sum
-/// over a thousand gateways does not overflow.
+/// Upper bound of each field of a load reported by a peer. Far more than one gateway can have at
+/// one server, and small enough that the sum over a thousand gateways does not overflow.
 const MAX_REPORTED: u32 = u32::MAX / 1024;
 
-/// Work at one server.
+/// Load on one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadShare {
-    /// Requests sent and not yet answered in full.
+    /// Requests sent and not yet completed.
     pub running: u32,
     /// Tokens of their prompts.
     pub prompt_tokens: u32,
-    /// Tokens they are expected to generate, those already made included.
+    /// Tokens they are expected to generate, including those already generated.
     pub output_tokens: u32,
     /// Tokens already generated.
     pub made_tokens: u32,
 }
 
 impl LoadShare {
-    /// One stream of `shape` that begins.
+    /// Returns the load of a stream of `shape` that starts.
     pub fn of_stream(shape: &PromptShape) -> LoadShare {
         LoadShare {
             running: 1,
@@ -34,17 +33,16 @@
         }
     }
 
-    /// One prompt to be read.
+    /// Returns the load of a prompt to be prefilled.
     pub fn of_prompt(prompt_tokens: u32) -> LoadShare {
         LoadShare { running: 1, prompt_tokens, ..LoadShare::default() }
     }
 
-    /// One call to a plain service.
+    /// Returns the load of a call to a plain service.
     pub fn of_call() -> LoadShare {
         LoadShare { running: 1, ..LoadShare::default() }
     }
 
-    /// The sum of both.
     pub fn plus(self, other: LoadShare) -> LoadShare {
         LoadShare {
             running: self.running.saturating_add(other.running),
@@ -54,7 +52,7 @@
         }
     }
 
-    /// What is left when `other`, counted in before, ends.
+    /// Returns what remains when `other`, which this load includes, ends.
     pub fn minus(self, other: LoadShare) -> LoadShare {
         LoadShare {
             running: self.running.saturating_sub(other.running),
@@ -64,20 +62,19 @@
         }
     }
 
-    /// The most tokens of KV cache that this work is expected to hold at any
-    /// later moment.
+    /// Returns the maximum number of KV cache tokens that this load is expected to hold at any
+    /// later time.
     ///
-    /// Requests that began together all hold their whole answers in the end.
-    /// Requests at all stages free more, as the first of them end, than the
-    /// others still add, since a prompt is longer than its answer: they hold
-    /// the most now, and what they add until the first of them ends: with `n`
-    /// evenly apart that is in the `n + 1`th part of the longest rest, so each
-    /// adds as much of twice the mean rest. In between, the part still to be
-    /// generated counts by how far together they are.
+    /// Requests that start together all hold their complete responses in the end. Requests at all
+    /// stages of progress free more, as the first of them end, than the others still add, since a
+    /// prompt is longer than its response. They hold the most now, plus what they add until the
+    /// first of them ends: with `n` of them evenly spaced, that takes the `n + 1`th part of the
+    /// longest remainder, so each adds that part of twice the mean remainder. In between, the
+    /// tokens still to be generated count by how synchronised the requests are.
     ///
-    /// Without that last answer's growth, engines of seven streams with long
-    /// answers pushed out one stream in nine: a pause of half a second, and its
-    /// prompt read again.
+    /// Without the growth until the first of them ends, engines of seven streams with long
+    /// responses preempt one stream in nine, which then stalls for half a second and has its prompt
+    /// prefilled again.
     pub fn peak_tokens(&self) -> f64 {
         let output = f64::from(self.output_tokens);
         let left = f64::from(self.output_tokens.saturating_sub(self.made_tokens));
@@ -90,10 +87,10 @@
         held + (left * sync_fraction).max(until_first_end.min(left))
     }
 
-    /// This share as it is counted when another gateway tells of it.
+    /// Returns this load as it counts when a peer reports it.
     ///
-    /// Guards against a datagram that is not a gateway's: one absurd count
-    /// would make sums overflow, and a server look full for good.
+    /// Prevents a datagram that does not come from a gateway from overflowing the sums with one
+    /// absurd count, and from making a server look full permanently.
     pub fn bounded(self) -> LoadShare {
         LoadShare {
             running: self.running.min(MAX_REPORTED),
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,6 +1,5 @@
-//! What the gateway believes, and what it decides from that. Nothing here
-//! does I/O or reads a clock: the time is passed in, so every decision can
-//! be tested as a table.
+//! Cluster state, and the decisions based on it. Nothing here does I/O or reads a clock: the time
+//! is passed in, so every decision can be tested with a table of cases.
 
 mod admission_queue;
 mod backoff_update;
--- a/crates/gateway/src/cluster/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -1,4 +1,4 @@
-//! Which server a request goes to.
+//! Chooses the server for each request.
 
 use std::time::Instant;
 
@@ -24,28 +24,27 @@
 use crate::model::ServerKey;
 use crate::model::ServerStage;
 
-/// What another failure domain weighs for plain calls, in shares of a full
-/// server: two more hops of under two milliseconds, against queueing.
+/// Cost of a server in another failure domain for plain calls, as a fraction of a full server.
+/// Weighs two extra hops of under 2 ms against queueing.
 const CROSS_DOMAIN_WEIGHT: f64 = 0.3;
-/// A decode engine reads its prompt itself once prompts of this many times its
-/// length wait at every reader: it would be done sooner, at half a reader's
-/// speed and between its streams' tokens, though these are held up by it.
+/// A decode server prefills a prompt itself when the queue at every prefill server exceeds this
+/// multiple of the prompt's length. It then finishes sooner, although it prefills at half the speed
+/// of a prefill server, between the tokens of its streams, and delays these streams.
 ///
-/// Guards against readers that become the narrow stage, when some fail, slow
-/// down or were ordered away in a burst: all prompts queued there, first events
-/// came after 1.9 s at the median, and half of all streams were late.
+/// Prevents prefill servers from becoming the bottleneck when some of them fail, slow down or are
+/// ordered to change stage in a burst. With all prompts queued there, the median time to first
+/// event is 1.9 s and half of all streams miss their latency target.
 const SELF_PREFILL_QUEUE_FACTOR: f64 = 4.0;
 
-/// What a placement must respect.
+/// Constraints of a placement.
 #[derive(Debug)]
 pub struct PlacementRequest<'a> {
     pub service: &'a str,
-    /// This gateway's digest; gateways differ in which of equal servers they
-    /// prefer.
+    /// Digest of this gateway. Gateways differ in which of several equal servers they prefer.
     pub gateway: u64,
     /// This gateway's failure domain.
     pub domain: &'a DomainKey,
-    /// Servers that this request has already been to.
+    /// Servers to which this request has already been sent.
     pub tried: &'a [ServerKey],
     pub now: Instant,
 }
@@ -54,9 +53,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum PlacementError {
-    /// The service has no server that takes work.
+    /// The service has no available server.
     NoServer,
-    /// All that take work are full.
+    /// No available server has capacity for the request.
     NoRoom,
 }
 
@@ -71,13 +70,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct EnginePlacement {
     pub decode: ServerKey,
-    /// Reads the prompt; `None` when the decode server is to do so.
+    /// Server that prefills the prompt; `None` when the decode server does so.
     pub prefill: Option<ServerKey>,
     pub cost: f64,
 }
 
-/// The server for a call to a plain service: the least loaded, weighed with
-/// how it has fared and how far it is.
+/// Returns the server for a call to a plain service: the least loaded one, weighted by its recent
+/// failures and its distance.
 pub fn place_plain(
     fleet: &Fleet,
     request: &PlacementRequest<'_>,
@@ -92,12 +91,12 @@
     Ok(PlainPlacement { server, cost })
 }
 
-/// The decode server with room for `shape`, and the prefill server to read
-/// its prompt. `ahead` is how many requests at other gateways go first: the
-/// places best for them are left to them.
+/// Returns a decode server with capacity for `shape`, and the prefill server for its prompt.
+/// `requests_ahead` is the number of requests at other gateways that go first: that many of the
+/// best placements are left to them.
 ///
-/// Guards against gateways that all take the one place that has come free:
-/// without a word between them, each takes the place of its own rank.
+/// Prevents gateways from all taking the same capacity when it becomes free: without communication,
+/// each takes the placement at its own rank.
 pub fn place_engine(
     fleet: &Fleet,
     spec: &EngineSpec,
@@ -145,8 +144,8 @@
     Ok(EnginePlacement { decode: decode.server.clone(), prefill, cost })
 }
 
-/// A decode server for a stream that must go on elsewhere; one without
-/// room is taken too, since the caller is already waiting midway.
+/// Returns a decode server for a stream that must continue on another server. A server without
+/// capacity is accepted too, since the client is already waiting in the middle of a response.
 pub fn place_decode(
     fleet: &Fleet,
     spec: &EngineSpec,
@@ -160,7 +159,7 @@
     cheapest(&decode_servers, cost).map(|(server, _)| server)
 }
 
-/// A prefill server near `domain`.
+/// Returns a prefill server, preferably in `domain`.
 pub fn place_prefill(
     fleet: &Fleet,
     domain: &DomainKey,
@@ -173,14 +172,13 @@
     cheapest(&prefill_servers, cost).map(|(server, _)| server)
 }
 
-/// How much this gateway dislikes a server among equal ones, from 0 to 1: a
-/// draw from both names, weighed as one request's work.
+/// Returns how much this gateway disfavours a server among equal ones, from 0 to 1: a pseudo-random
+/// value derived from both digests, to be scaled by the load of one request.
 ///
-/// Guards against gateways that all choose the same server: their views are
-/// a report old (up to 250 ms), and by cost alone they agree on the one that
-/// looks emptiest. Of 79 gateways' placements within 30 ms of each other a
-/// third met at one server of 39; its prompts queued and its memory ran out.
-/// A server that is less loaded by one request still goes first.
+/// Prevents gateways from all choosing the same server. Their views are up to one report interval
+/// (250 ms) old, and by cost alone they agree on the server that looks emptiest: of the placements
+/// that 79 gateways make within 30 ms, a third meet at one of 39 servers, where prompts queue and
+/// memory runs out. A server that is less loaded by one request is still preferred.
 fn tie_break(request: &PlacementRequest<'_>, server_state: &ServerState) -> f64 {
     f64::from(rendezvous_score(request.gateway, server_state.incarnation)) / f64::from(u32::MAX)
 }
--- a/crates/gateway/src/cluster/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -15,8 +15,8 @@
 /// Maximum number of backoffs in a report. Limits them to a quarter of the maximum datagram
 /// size.
 const MAX_REPORTED: usize = 80;
-/// Maximum number of gateways per server. Bounds memory, since backoffs reported by other
-/// gateways are not verified.
+/// Maximum number of gateways per server. Bounds memory, since backoffs reported by peers are not
+/// verified.
 const MAX_GATEWAYS: usize = 1024;
 
 /// The backoff of one gateway from one server incarnation.
@@ -27,8 +27,8 @@
     changed_at: Instant,
 }
 
-/// The backoffs that server incarnations have requested. Includes those of other gateways,
-/// so that a restarted gateway can learn its own from them.
+/// The backoffs that server incarnations have requested. Includes those of peers, so that a
+/// restarted gateway can learn its own from them.
 #[derive(Debug, Default)]
 pub struct ServerBackoffs {
     /// Per server, by the digest of the gateway.
@@ -36,8 +36,8 @@
 }
 
 impl ServerBackoffs {
-    /// Records that `server` requests a backoff from `gateway` until `until`, unless the known
-    /// one ends no earlier; true when it was recorded.
+    /// Records that `server` requests a backoff from `gateway` until `until`, unless the known one
+    /// ends no earlier. Returns true when it was recorded.
     pub fn record(
         &mut self,
         server: ServerIncarnation,
@@ -58,14 +58,14 @@
         true
     }
 
-    /// When the backoff of `gateway` from `server` ends; `None` when none is in force.
+    /// Returns when the backoff of `gateway` from `server` ends; `None` when none is in force.
     pub fn until(&self, server: ServerIncarnation, gateway: u64, now: Instant) -> Option<Instant> {
         let backoff = self.backoffs.get(server)?.get(&gateway)?;
         (now < backoff.until).then_some(backoff.until)
     }
 
-    /// The backoffs that a report of the gateway `own` includes: its recent ones, and all of
-    /// the gateways for which `tells_all_of` is true; a random sample if there are too many.
+    /// Returns the backoffs that a report of `local_gateway` includes: its recent ones, and all of
+    /// the gateways for which `reports_all_of` is true; a random sample if there are too many.
     pub fn updates(
         &self,
         local_gateway: u64,
@@ -99,7 +99,6 @@
         });
     }
 
-    /// True when the table is empty.
     pub fn is_empty(&self) -> bool {
         self.backoffs.is_empty()
     }
--- a/crates/gateway/src/cluster/server_departures.rs
+++ b/crates/gateway/src/cluster/server_departures.rs
@@ -1,4 +1,4 @@
-//! Servers that have stated in an answer that they are leaving.
+//! Servers that have stated in a response that they are draining.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,8 +13,7 @@
 /// size.
 const MAX_REPORTED: usize = 96;
 
-/// The server incarnations that have stated that they are leaving. A departure is never
-/// withdrawn.
+/// The server incarnations that have stated that they are draining. A departure is never withdrawn.
 #[derive(Debug, Default)]
 pub struct ServerDepartures {
     /// When this gateway first learned of the departure.
@@ -22,14 +21,14 @@
 }
 
 impl ServerDepartures {
-    /// Records that `server` is leaving; true when a new entry was added.
+    /// Records that `server` is draining. Returns true when a new entry was added.
     pub fn record(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         let is_new = !self.contains(server);
         self.known_since.get_or_insert_with(server, now, || now).is_some() && is_new
     }
 
-    /// The departures that a report includes: recent ones, or with `tells_all` every entry;
-    /// a random sample if there are too many.
+    /// Returns the departures that a report includes: recent ones, or with `reports_all` every
+    /// entry; a random sample if there are too many.
     pub fn updates(&self, reports_all: bool, now: Instant) -> Vec<ServerIncarnation> {
         let is_recent = |since: &Instant| now.saturating_duration_since(*since) < REPORT_WINDOW;
         let reported = self.known_since.iter().filter(|(_, since)| reports_all || is_recent(since));
--- a/crates/gateway/src/cluster/server_health.rs
+++ b/crates/gateway/src/cluster/server_health.rs
@@ -1,65 +1,64 @@
-//! How a server has lately fared, judged from our own requests only.
+//! Recent health of a server, judged by this gateway's own requests only.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use strum::Display;
 
-/// How one send to a server ended, as far as the server's health goes.
+/// How one attempt at a server ended, as far as the server's health is concerned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ServerOutcome {
-    /// It answered as it should.
+    /// The server responded as expected.
     Fine,
-    /// It said that it was full, or that its state had changed.
+    /// The server stated that it was full, or that its state had changed.
     Refused,
-    /// It said that it is another server, or does another part of the work.
+    /// The server stated that it is another server, or serves another stage.
     Misdirected,
-    /// It answered with an error of its own.
+    /// The server responded with an error of its own.
     Erred,
-    /// It broke off, fell silent, or sent what is no answer of its own.
+    /// The server broke off the response, stopped sending, or sent something that is no response of
+    /// its own.
     Failed,
-    /// It could not be reached.
+    /// The server could not be reached.
     Unreachable,
 }
 
-/// How fast the failure share forgets: halved in this time without news.
-/// Short enough that a server which has recovered is back at work within
-/// two target latencies of a stream; long enough to cover the gaps between
-/// requests to one of 18 servers.
+/// Half-life of the failure fraction while no outcomes are recorded. Short enough that a server
+/// that has recovered is used again within two target latencies of a stream; long enough to cover
+/// the gaps between requests to one of 18 servers.
 const HALF_LIFE: Duration = Duration::from_millis(2500);
-/// The weight of one outcome in the failure share.
+/// Weight of one outcome in the failure fraction.
 const SAMPLE_WEIGHT: f64 = 0.25;
-/// Set aside after one connection failure, doubled with each in a row.
+/// Duration of an ejection after one connection failure. Doubles with each consecutive one.
 const MIN_EJECTION: Duration = Duration::from_millis(400);
-/// The longest a server is set aside before the next request tries it.
+/// Maximum duration of an ejection before the next request probes the server.
 const MAX_EJECTION: Duration = Duration::from_secs(3);
 /// How long a probe may take before another is sent.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long after a garbled answer its connections are used only once.
+/// How long connections to a server are used only once after a malformed response.
 const SUSPECT_WINDOW: Duration = Duration::from_secs(8);
 
-/// One server's record.
+/// Health of one server.
 #[derive(Debug, Clone, Default)]
 pub struct ServerHealth {
-    /// Share of sends that failed lately; from 0 to 1.
+    /// Fraction of recent attempts that failed, from 0 to 1.
     failure_fraction: f64,
     updated_at: Option<Instant>,
     consecutive_failures: u32,
     ejected_until: Option<Instant>,
-    /// One request is finding out whether the server is back.
+    /// Set while one request probes whether the server is back.
     probe_until: Option<Instant>,
     suspect_until: Option<Instant>,
 }
 
 impl ServerHealth {
-    /// Takes in how a send ended.
+    /// Records how an attempt ended.
     pub fn record(&mut self, outcome: ServerOutcome, now: Instant) {
         let sample = match outcome {
             ServerOutcome::Fine => 0.0,
             ServerOutcome::Refused | ServerOutcome::Misdirected => return,
-            // An error may be the request's own fault; failing in the
-            // transport never is.
+            // An error may be caused by the request itself; a transport failure never is.
             ServerOutcome::Erred => 0.5,
             ServerOutcome::Failed | ServerOutcome::Unreachable => 1.0,
         };
@@ -79,9 +78,11 @@
         }
     }
 
-    /// Guards against a dead server taking one request after another until
-    /// its registration lapses (seconds): it is passed over for a pause
-    /// that doubles, then one request finds out.
+    /// Ejects the server for a duration that doubles with each consecutive failure, after which one
+    /// request probes it.
+    ///
+    /// Prevents a dead server from receiving one request after another until its registration
+    /// expires, which takes seconds.
     fn eject(&mut self, now: Instant) {
         let doublings = self.consecutive_failures.min(4);
         let ejection = (MIN_EJECTION * 2u32.pow(doublings)).min(MAX_EJECTION);
@@ -90,37 +91,38 @@
         self.probe_until = None;
     }
 
-    /// Work is being sent there. After a pause the first request is a probe.
+    /// Records that a request is being sent to the server. The first one after an ejection is a
+    /// probe.
     ///
-    /// Guards against a whole burst going to a dead server each time its
-    /// pause ends: it has no work, so it looks like the one with most room.
+    /// Prevents a whole burst from going to a dead server each time its ejection ends: since it has
+    /// no load, it looks like the one with the most capacity.
     pub fn record_attempt(&mut self, now: Instant) {
         if self.ejected_until.is_some() && !self.is_ejected(now) {
             self.probe_until = Some(now + PROBE_TIMEOUT);
         }
     }
 
-    /// The share of sends that failed lately, fading without news.
+    /// Returns the fraction of recent attempts that failed. Decays while no outcomes are recorded.
     pub fn failure_fraction(&self, now: Instant) -> f64 {
         let Some(at) = self.updated_at.filter(|_| self.failure_fraction > 0.0) else { return 0.0 };
         let age = now.saturating_duration_since(at).as_secs_f64();
         self.failure_fraction * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 
-    /// True while the server is passed over, or a probe is out.
+    /// Returns true while the server is ejected or a probe is in progress.
     pub fn is_ejected(&self, now: Instant) -> bool {
         let is_in = |until: Option<Instant>| until.is_some_and(|until| now < until);
         is_in(self.ejected_until) || is_in(self.probe_until)
     }
 
-    /// An answer to another request, or bytes that are no answer, came on a
+    /// Records that a response to another request, or bytes that are no response, arrived on a
     /// connection.
     pub fn record_malformed(&mut self, now: Instant) {
         self.suspect_until = Some(now + SUSPECT_WINDOW);
     }
 
-    /// True while connections to the server should carry one request only:
-    /// stray bytes left on a kept one would spoil the next answer.
+    /// Returns true while each connection to the server should carry only one request: stray bytes
+    /// left on a reused connection would corrupt the next response.
     pub fn is_suspect(&self, now: Instant) -> bool {
         self.suspect_until.is_some_and(|until| now < until)
     }
--- a/crates/gateway/src/cluster/server_state.rs
+++ b/crates/gateway/src/cluster/server_state.rs
@@ -1,4 +1,4 @@
-//! What is believed of one server.
+//! This gateway's view of one server.
 
 use std::time::Instant;
 
@@ -8,29 +8,29 @@
 use crate::model::ServerIncarnation;
 use crate::model::StoreVersion;
 
-/// One server: its registration, our own work there, and its record.
+/// One server: its registration, this gateway's load on it, and its health.
 #[derive(Debug, Clone)]
 pub struct ServerState {
     pub entry: ServerEntry,
-    /// The version of the row `entry` was read from.
+    /// Version of the row from which `entry` was read.
     pub version: StoreVersion,
-    /// This start of the server, as it stands in load reports.
+    /// This incarnation of the server, as identified in load reports.
     pub incarnation: ServerIncarnation,
-    /// Our own work there.
+    /// This gateway's load on the server.
     pub local_load: LoadShare,
     pub health: ServerHealth,
-    /// Set when the entry was found missing after an outage of the store;
-    /// the server counts as gone from then on.
+    /// Set when the row was found missing after an outage of the store. The server counts as gone
+    /// from this time on.
     pub expires_at: Option<Instant>,
-    /// True while the server's row holds what is no registration.
+    /// True while the server's row holds no valid registration.
     pub is_unreadable: bool,
-    /// Set once the server at its address has said that it is another than the
-    /// row tells of, until the next row or this time.
+    /// Set when the server at the address has stated that it is another one than the row describes.
+    /// Applies until the next row or this time.
     pub outdated_until: Option<Instant>,
 }
 
 impl ServerState {
-    /// What is believed of a server that has just become known.
+    /// Creates the state of a server that has just become known.
     pub fn new(entry: ServerEntry, version: StoreVersion) -> Self {
         ServerState {
             incarnation: entry.incarnation(),
@@ -44,12 +44,12 @@
         }
     }
 
-    /// True while its row is taken to tell of another server.
+    /// Returns true while the row is taken to describe another server.
     pub fn is_outdated(&self, now: Instant) -> bool {
         self.outdated_until.is_some_and(|until| now < until)
     }
 
-    /// True when new work may go there.
+    /// Returns true when the server is available to new work.
     pub fn is_available(&self, now: Instant) -> bool {
         let is_row_valid = !self.is_unreadable && !self.is_outdated(now);
         !self.entry.is_leaving && is_row_valid && self.expires_at.is_none_or(|at| now < at)
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -1,4 +1,4 @@
-//! How many of a service's engines should read prompts.
+//! Estimates how many of a service's engines should prefill prompts.
 
 use std::time::Duration;
 
@@ -10,53 +10,51 @@
 use super::pooled_count::is_reliable;
 use crate::model::EngineSpec;
 
-/// Streams needed before their mean is believed.
+/// Minimum number of streams before their mean is used.
 const MIN_STREAMS: u32 = 8;
-/// The weight of one stream in the mean, once there are enough.
+/// Weight of one stream in the mean, once there are enough.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Readers are kept at this share of their time when engines that generate are
-/// full. What they do not read in time, the engines that generate read for
-/// themselves: without that, readers kept at 0.8 queued for seconds and 0.5 was
-/// the most that held (callers got 0.634 and 0.642 of the value of what they
-/// asked for); with it 0.8 gives 0.663 and 0.5 0.655, over twenty runs each with
-/// bursts and faults.
+/// Target utilisation of prefill servers while decode servers are full. Decode servers prefill the
+/// prompts that prefill servers do not handle in time, so prompts do not queue for long at 0.8:
+/// over twenty runs each with bursts and faults, callers get 0.663 of the value of what they
+/// request at 0.8 and 0.655 at 0.5. If decode servers did not prefill, prompts would queue for
+/// seconds at 0.8, and 0.5 would be the highest value that holds (0.634 and 0.642).
 const TARGET_PREFILL_UTILISATION: f64 = 0.8;
 
-/// What a mean stream takes of engines' time.
+/// Engine time that a mean stream takes in each stage.
 ///
-/// Guards against engines taken from the stage that will be the narrow one.
-/// How busy readers are says little: they are idle before a burst, and a prompt
-/// in its engine's constant steps looks like one being read. Judged by that,
-/// two of five readers were ordered to generate at the start of a burst, prompts
-/// queued for seconds, and callers got 0.60 of the value of what they asked for;
-/// with one ordered 0.69.
-/// What a stream takes of either stage does not depend on how many come.
+/// Prevents engines from being taken from the stage that is about to become the bottleneck. How
+/// busy prefill servers are says little: they are idle before a burst, and a prompt in the constant
+/// steps of its engine looks like one being prefilled. Judged by that, two of five prefill servers
+/// are ordered to decode at the start of a burst, prompts queue for seconds, and callers get 0.60
+/// of the value of what they request, against 0.69 with one ordered. What a stream takes of either
+/// stage does not depend on how many arrive.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageBalance {
     pub reading: PrefillRate,
-    /// Tokens of a mean prompt.
+    /// Mean number of tokens per prompt.
     prompt_tokens: f64,
-    /// Seconds that a mean stream stays at an engine that generates.
+    /// Mean time that a stream stays at a decode server, in seconds.
     stay_s: f64,
-    /// The same, times the tokens of memory it holds.
+    /// The same, multiplied by the KV cache tokens that the stream holds.
     token_s: f64,
     streams: u32,
 }
 
 impl StageBalance {
-    /// Takes in a stream that ended well, `stay` after its engines were chosen.
+    /// Records a stream that ended successfully, `duration` after its engines were chosen.
     pub fn record_stream(&mut self, prompt_tokens: u32, made_tokens: u32, duration: Duration) {
         self.streams = self.streams.saturating_add(1);
         let weight = SAMPLE_WEIGHT.max(1.0 / f64::from(self.streams));
         let stay_s = duration.as_secs_f64();
-        // Half of the answer is held on the mean over its time.
+        // On average over its duration, a stream holds half of its response.
         let held = f64::from(prompt_tokens) + f64::from(made_tokens) / 2.0;
         self.prompt_tokens += (f64::from(prompt_tokens) - self.prompt_tokens) * weight;
         self.stay_s += (stay_s - self.stay_s) * weight;
         self.token_s += (held * stay_s - self.token_s) * weight;
     }
 
-    /// What this and `other` have learned, by how many streams each stands for.
+    /// Returns the pooled estimates of this and `other`, weighted by their numbers of streams.
     pub fn with(&self, other: &StageBalance) -> StageBalance {
         let pool = PooledCount::new(self.streams, other.streams);
         StageBalance {
@@ -68,14 +66,14 @@
         }
     }
 
-    /// False for what no gateway can have learned.
+    /// Returns false for values that no gateway can have estimated.
     pub fn is_reliable(&self) -> bool {
         let means = [self.prompt_tokens, self.stay_s, self.token_s];
         means.into_iter().all(is_reliable) && self.reading.is_reliable()
     }
 
-    /// The engines of `engines` that should read prompts so that both stages
-    /// are full at the same load; `None` while too little is known.
+    /// Returns how many of `engines` should prefill prompts so that both stages are full at the
+    /// same load; `None` while there are too few samples.
     pub fn target_prefill_servers(&self, engines: usize, spec: &EngineSpec) -> Option<usize> {
         if self.streams < MIN_STREAMS {
             return None;
--- a/crates/gateway/src/cluster/stage_monitor.rs
+++ b/crates/gateway/src/cluster/stage_monitor.rs
@@ -1,4 +1,4 @@
-//! When engines should change from reading prompts to generating, or back.
+//! Decides when engines should change between the prefill and decode stages.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -10,76 +10,75 @@
 use crate::model::ServerKey;
 use crate::model::ServerStage;
 
-/// Engines at work are averaged over about this long: a burst shows after a
-/// second, a single prompt does not.
+/// Window over which the number of busy prefill servers is averaged. A burst shows after a second,
+/// a single prompt does not.
 const AVERAGING_WINDOW: Duration = Duration::from_millis(1500);
-/// Requests must have waited for room this long without a pause: shorter
-/// waits end by themselves before an engine has changed (some 6 s).
+/// How long requests must have been queued without interruption. Shorter queues clear by themselves
+/// before an engine has changed, which takes about 6 s.
 const MIN_QUEUED_DURATION: Duration = Duration::from_millis(600);
-/// The least part of a service's engines that reads prompts, and the least
-/// number: a failure domain may fail.
+/// Minimum fraction, and minimum number, of a service's engines that prefill prompts, since a
+/// failure domain may fail.
 const MIN_PREFILL_FRACTION: f64 = 0.12;
 const MIN_PREFILL_SERVERS: usize = 3;
-/// Where more than this part of the readers is not wanted for this long, they
-/// change also while nobody waits: engines are away for some 6 s, longer than
-/// most bursts last, so whoever waits for the burst gets its room after it.
+/// Prefill servers also change while no request is queued, when more than this fraction of them has
+/// been surplus for [`MIN_SPARE_DURATION`]. Engines are away for about 6 s, longer than most bursts
+/// last, so a change that waits for the burst adds its capacity only afterwards.
 const SPARE_FRACTION: f64 = 0.2;
 const MIN_SPARE_DURATION: Duration = Duration::from_secs(2);
-/// Prompt readers busier than this for [`OVERLOAD_TIME`] are too few.
+/// Prefill servers that are busier than this for [`MIN_OVERLOAD_DURATION`] are too few.
 const OVERLOAD_FRACTION: f64 = 0.9;
 const MIN_OVERLOAD_DURATION: Duration = Duration::from_secs(3);
-/// Nothing is changed again for this long: engines change in some 6 s, and
-/// what that does shows in the next burst.
+/// Minimum time between two changes. Engines change in about 6 s, and the effect shows in the next
+/// burst.
 const COOLDOWN: Duration = Duration::from_secs(15);
 
-/// One snapshot at a service's engines.
+/// The engines of a service at one point in time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageSnapshot {
     pub prefill: usize,
-    /// Prompt readers that have any work.
+    /// Prefill servers that have any load.
     pub prefill_busy: usize,
     pub decode: usize,
-    /// Requests that wait for room, here and at other gateways.
+    /// Requests queued for capacity, at this gateway and its peers.
     pub queued: usize,
-    /// Prompt readers wanted by what streams take of either stage; `None` while
-    /// that is not known.
+    /// Target number of prefill servers, from the time that streams take in each stage; `None`
+    /// while that is unknown.
     pub target_prefill: Option<usize>,
 }
 
 impl StageSnapshot {
-    /// Engines of either stage.
+    /// Returns the number of engines in both stages.
     pub fn engines(&self) -> usize {
         self.prefill + self.decode
     }
 }
 
-/// How many engines should change.
+/// A number of engines that should change to another stage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StageChange {
     pub to: ServerStage,
     pub count: usize,
 }
 
-/// Watches one service's pools.
+/// Monitors the engines of one service.
 ///
-/// Engines that generate are full in bursts while those that read prompts
-/// idle for much of their time: with a third of 60 engines reading, they
-/// worked for 0.45 of it while 100 requests waited. Seven of them changed
-/// give 18% more room.
+/// In bursts, decode servers are full while prefill servers are idle for much of their time: with a
+/// third of 60 engines in the prefill stage, these are busy for 0.45 of it while 100 requests are
+/// queued. Changing seven of them gives 18% more capacity.
 #[derive(Debug, Default)]
 pub struct StageMonitor {
-    /// Prompt readers at work, averaged.
+    /// Moving average of the number of busy prefill servers.
     busy: f64,
     polled_at: Option<Instant>,
     queued_since: Option<Instant>,
     overloaded_since: Option<Instant>,
-    /// Since when there have been clearly more readers than wanted.
+    /// Since when there have been clearly more prefill servers than the target.
     spare_since: Option<Instant>,
     cooldown_until: Option<Instant>,
 }
 
 impl StageMonitor {
-    /// Takes in a snapshot, and says what should change.
+    /// Records a snapshot. Returns the change that should be made, if any.
     pub fn update(&mut self, snapshot: StageSnapshot, now: Instant) -> Option<StageChange> {
         self.update_average(snapshot, now);
         let is_overloaded = self.busy > OVERLOAD_FRACTION * snapshot.prefill as f64;
@@ -109,7 +108,7 @@
         None
     }
 
-    /// This gateway acts on a change: none is asked for again for a while.
+    /// Suppresses further changes for a while, since this gateway acts on one.
     pub fn start_cooldown(&mut self, now: Instant) {
         self.cooldown_until = Some(now + COOLDOWN);
     }
@@ -137,7 +136,7 @@
     since.is_some_and(|since| now.saturating_duration_since(since) >= time)
 }
 
-/// A snapshot at the engines of `service`, for which `waiting` requests wait.
+/// Returns a snapshot of the engines of `service`, for which `queued` requests are queued.
 pub fn stage_snapshot(fleet: &Fleet, service: &str, queued: usize, now: Instant) -> StageSnapshot {
     let mut snapshot =
         StageSnapshot { prefill: 0, prefill_busy: 0, decode: 0, queued, target_prefill: None };
@@ -155,8 +154,8 @@
     snapshot
 }
 
-/// The engines of `service` to change: the idlest, one by one from the
-/// failure domain that has most of them left, so that no domain loses all.
+/// Chooses the engines of `service` to change: the least loaded, one by one from the failure domain
+/// that has most of them left, so that no domain loses all.
 pub fn choose_stage_change(
     fleet: &Fleet,
     service: &str,
