--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! What is believed of the servers, from the store's rows in any order.
+//! The state of the servers, from the store's rows in any order.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -45,7 +45,7 @@
     Ready(&'static str, u64),
     Leaving(&'static str, u64),
     Removed(&'static str, u64),
-    /// A row of the start at the last number, in milliseconds.
+    /// A row of the incarnation that started at the last number, in milliseconds.
     ReadySince(&'static str, u64, u64),
     LeavingSince(&'static str, u64, u64),
     Unreadable(&'static str, u64),
@@ -80,17 +80,17 @@
             available: &[],
         },
         Case {
-            name: "and forgotten in the end",
+            name: "removed servers are forgotten eventually",
             steps: &[Ready("a", 1), Removed("a", 3), Wait(61_000), Ready("a", 2)],
             available: &["a"],
         },
         Case {
-            name: "a late row does not bring a removed server back",
+            name: "a late row does not add a removed server again",
             steps: &[Ready("a", 1), Removed("a", 5), Ready("a", 3)],
             available: &[],
         },
         Case {
-            name: "a newer row does",
+            name: "a newer row adds a removed server again",
             steps: &[Ready("a", 1), Removed("a", 5), Ready("a", 6)],
             available: &["a"],
         },
@@ -100,36 +100,35 @@
             available: &["a", "b"],
         },
         Case {
-            name: "a listing after dropped history removes at once",
+            name: "a listing after dropped history removes immediately",
             steps: &[Ready("a", 1), Ready("b", 2), Listed(&[("a", 1)], 5)],
             available: &["a"],
         },
         Case {
-            name: "missing after an outage: may only have lapsed",
+            name: "missing after an outage: may only have expired",
             steps: &[Ready("a", 1), Ready("b", 2), StoreAvailable, Listed(&[], 5)],
             available: &["a", "b"],
         },
         Case {
-            name: "back in time",
+            name: "back within the grace period",
             steps: &[Ready("a", 1), StoreAvailable, Listed(&[], 5), Ready("a", 6), Wait(5000)],
             available: &["a"],
         },
         Case {
-            name: "still missing two seconds later: gone",
+            name: "still missing two seconds later: removed",
             steps: &[Ready("a", 1), StoreAvailable, Listed(&[], 5), Wait(2300)],
             available: &[],
         },
-        // Our own path to the store was cut for 12 s; a server left and was
-        // removed in that time. The other gateways knew; kept for a grace,
-        // it got work from us 3.4 s after the store had acknowledged that
-        // it leaves.
+        // This gateway's path to the store is cut for 12 s, and a server drains and is removed in
+        // that time. The peers know of it. With a grace period, the server would get requests from
+        // this gateway 3.4 s after the store has acknowledged its departure.
         Case {
-            name: "another gateway has read the store all the while: gone",
+            name: "a peer has read the store throughout: removed",
             steps: &[Ready("a", 1), PeerStoreStable(13_000), StoreAvailable, Listed(&[], 5)],
             available: &[],
         },
         Case {
-            name: "it tells so soon after",
+            name: "the peer reports so shortly afterwards: removed",
             steps: &[
                 Ready("a", 1),
                 StoreAvailable,
@@ -140,7 +139,7 @@
             available: &[],
         },
         Case {
-            name: "the other gateway had an outage too, long enough ago: gone",
+            name: "the peer had an outage too, long enough ago: removed",
             steps: &[
                 Ready("a", 1),
                 PeerStoreStable(2300),
@@ -151,7 +150,7 @@
             available: &[],
         },
         Case {
-            name: "the other gateway has just regained the store too: may have lapsed",
+            name: "the store has just become available to the peer too: may have expired",
             steps: &[
                 Ready("a", 1),
                 PeerStoreStable(1000),
@@ -162,7 +161,7 @@
             available: &["a"],
         },
         Case {
-            name: "an announcement is not forgotten over an outage",
+            name: "an announced departure is kept over an outage",
             steps: &[Ready("a", 1), Leaving("a", 2), StoreAvailable, Listed(&[], 5)],
             available: &[],
         },
@@ -171,10 +170,10 @@
             steps: &[Ready("a", 1), StoreAvailable, Wait(3000), Removed("a", 9)],
             available: &[],
         },
-        // A server announced its leaving, ended, and was started again under
-        // its id. Taken for the one that leaves, it would get no work for good.
+        // A server announces its departure, ends, and is started again under its id. Mistaken for
+        // the incarnation that drained, it would never get requests again.
         Case {
-            name: "started again after its leaving",
+            name: "started again after its departure",
             steps: &[LeavingSince("a", 1, 100), ReadySince("a", 2, 200)],
             available: &["a"],
         },
@@ -183,66 +182,66 @@
             steps: &[ReadySince("a", 1, 100), Removed("a", 2), ReadySince("a", 3, 200)],
             available: &["a"],
         },
-        // A write of the earlier start is performed seconds after it was sent.
+        // A write of the earlier incarnation is applied seconds after it was sent.
         Case {
-            name: "late news of the earlier start",
+            name: "a late row of the earlier incarnation",
             steps: &[ReadySince("a", 1, 200), LeavingSince("a", 2, 100)],
             available: &["a"],
         },
         Case {
-            name: "late news of a start before the removed one",
+            name: "a late row of an incarnation before the removed one",
             steps: &[ReadySince("a", 1, 200), Removed("a", 2), ReadySince("a", 3, 100)],
             available: &[],
         },
-        // A server crashes and another starts at its address; the row stays
-        // until its heartbeats are missed. Each send there is rejected and
-        // counts as a repeat, until the bound on them is broken.
+        // A server crashes and another one starts at its address. The row stays until its
+        // heartbeats are missed. Each request sent there is rejected and counts as a retry, until
+        // the limit on retries is exceeded.
         Case {
             name: "another server is at its address",
             steps: &[Ready("a", 1), Ready("b", 2), Misdirected("a"), Wait(2000)],
             available: &["b"],
         },
         Case {
-            name: "until its next row",
+            name: "available again after its next row",
             steps: &[Ready("a", 1), Misdirected("a"), Ready("a", 3)],
             available: &["a"],
         },
-        // A gateway that is told of rows by others hears of none that says the
-        // same as before: one stray answer would keep the server out for good.
+        // A gateway that receives rows from its peers receives none that is unchanged: one stray
+        // response would keep the server unavailable permanently.
         Case {
-            name: "a server that says it is another, and whose row stays as it is",
+            name: "a server that states it is another one, and whose row is unchanged",
             steps: &[Ready("a", 1), Misdirected("a"), Wait(4900)],
             available: &[],
         },
         Case {
-            name: "it is tried again once a row that nobody renews would be gone",
+            name: "used again once a row that is not renewed would be gone",
             steps: &[Ready("a", 1), Misdirected("a"), Wait(5100)],
             available: &["a"],
         },
-        // Another writer's row under a server's id: nobody knows whether the
-        // server is there, and its next heartbeat says so.
+        // A row of another writer under a server's id: it is unknown whether the server is there,
+        // and its next heartbeat shows it.
         Case {
-            name: "a row that can't be read",
+            name: "an unreadable row",
             steps: &[Ready("a", 1), Ready("b", 2), Unreadable("a", 3)],
             available: &["b"],
         },
         Case {
-            name: "until the next that can",
+            name: "available again after the next readable row",
             steps: &[Ready("a", 1), Unreadable("a", 3), Ready("a", 4)],
             available: &["a"],
         },
         Case {
-            name: "an older one that can't be read",
+            name: "an older unreadable row",
             steps: &[Ready("a", 4), Unreadable("a", 3)],
             available: &["a"],
         },
         Case {
-            name: "listed, and can't be read: not removed, not used",
+            name: "listed with an unreadable row: neither removed nor used",
             steps: &[Ready("a", 1), ListedUnreadable("a", 3), Ready("a", 4)],
             available: &["a"],
         },
         Case {
-            name: "never known, and can't be read",
+            name: "unknown, with an unreadable row",
             steps: &[ListedUnreadable("a", 3)],
             available: &[],
         },
@@ -313,11 +312,11 @@
     assert_eq!(fleet.remove("a", 6, now), None);
 }
 
-/// A server crashes with streams at work and is started again at once, under
-/// its id and at its address. Judged by what was known of the process before,
-/// it would look full until those streams' callers left, be passed over for
-/// failures that it never made, and be told by other gateways' reports to be
-/// busy. Nothing of before counts for it, and what ends late is not its own.
+/// Guards against judging a restarted server by its previous incarnation. A server crashes with
+/// streams in progress and is started again immediately, under its id and at its address. Judged by
+/// the state of the previous process, it would look full until the callers of those streams
+/// disconnect, be ejected for failures it has not caused, and look busy because of reports from
+/// peers. No earlier state counts for it, and neither does earlier work that ends late.
 #[test]
 fn a_new_incarnation_starts_without_prior_state() {
     let now = Instant::now();
@@ -338,14 +337,18 @@
     fleet.remove_load("a", earlier, work);
     fleet.record_outcome("a", earlier, ServerOutcome::Unreachable, now);
     let (server_state, peers) =
-        fleet.available_servers("svc", now).next().expect("open to new work");
+        fleet.available_servers("svc", now).next().expect("an available server");
     assert_ne!(server_state.incarnation, earlier);
     assert_eq!(fleet.load(server_state, now), LoadShare::default());
     assert_eq!((peers.aside, server_state.health.is_ejected(now)), (0, false));
     let later = fleet.add_load("a", work, now).expect("a known server");
     fleet.replace_load("a", earlier, work, LoadShare::default());
     fleet.remove_load("a", earlier, work);
-    assert_eq!(fleet.load(fleet.server("a").unwrap(), now), work, "counts of the new start stay");
+    assert_eq!(
+        fleet.load(fleet.server("a").unwrap(), now),
+        work,
+        "the load of the new incarnation is unchanged"
+    );
     fleet.remove_load("a", later, work);
     assert_eq!(fleet.load(fleet.server("a").unwrap(), now), LoadShare::default());
 }
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where work goes, as tables of cases.
+//! Placement of requests, as tables of cases.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -79,7 +79,7 @@
     fleet.record_outcome(server, server_digest(server), outcome, now);
 }
 
-/// One change to a fleet of three plain servers, `a` in our own domain.
+/// One change to a fleet of three plain servers, with `a` in the gateway's own failure domain.
 #[derive(Debug, Clone, Copy)]
 enum Change {
     LocalLoad(&'static str, u32),
@@ -132,39 +132,39 @@
     use Change::*;
     use ServerOutcome::*;
     let cases = [
-        Case { name: "idle: the own domain", changes: &[], expected: Ok("a") },
+        Case { name: "idle: the local failure domain", changes: &[], expected: Ok("a") },
         Case {
-            name: "busy by our own work: elsewhere",
+            name: "loaded by this gateway: another server",
             changes: &[LocalLoad("a", 4), LocalLoad("b", 1)],
             expected: Ok("c"),
         },
         Case {
-            name: "busy by other gateways' work: elsewhere",
+            name: "loaded by peers: another server",
             changes: &[PeerLoad("a", 5), LocalLoad("c", 1)],
             expected: Ok("b"),
         },
         Case {
-            name: "one failure weighs more than distance",
+            name: "one failure costs more than distance",
             changes: &[Outcome("a", Failed, 1), LocalLoad("c", 1)],
             expected: Ok("b"),
         },
         Case {
-            name: "unreachable: passed over however idle",
+            name: "unreachable: ejected, even though it is idle",
             changes: &[Outcome("a", Unreachable, 1), LocalLoad("b", 6), LocalLoad("c", 5)],
             expected: Ok("c"),
         },
         Case {
-            name: "one gateway's word makes it the last choice",
+            name: "ejected by one peer: the last choice",
             changes: &[PeersEject("a", 1), LocalLoad("c", 1)],
             expected: Ok("b"),
         },
         Case {
-            name: "two gateways' word is believed",
+            name: "ejected by two peers: counts as ejected",
             changes: &[PeersEject("a", 2), LocalLoad("b", 6), LocalLoad("c", 5)],
             expected: Ok("c"),
         },
         Case {
-            name: "all fail: still one of them",
+            name: "all ejected: one of them is chosen anyway",
             changes: &[
                 Outcome("a", Unreachable, 3),
                 Outcome("b", Unreachable, 3),
@@ -175,7 +175,7 @@
         Case { name: "leaving", changes: &[Leaving("a"), LocalLoad("c", 1)], expected: Ok("b") },
         Case { name: "removed", changes: &[Removed("a"), LocalLoad("c", 1)], expected: Ok("b") },
         Case {
-            name: "nobody left",
+            name: "no server available",
             changes: &[Leaving("a"), Leaving("b"), Removed("c")],
             expected: Err(PlacementError::NoServer),
         },
@@ -202,16 +202,16 @@
     }
     let cases = [
         Case { name: "empty", load: LoadShare::default(), has_capacity: true },
-        Case { name: "six that have just begun", load: streams(6, 0), has_capacity: true },
-        Case { name: "seven that have just begun", load: streams(7, 0), has_capacity: true },
-        // Nine whole answers would need more than may be given out, though
-        // their prompts alone don't.
-        Case { name: "eight that have just begun", load: streams(8, 0), has_capacity: false },
-        // The same eight, halfway on: the first end before the last grow.
+        Case { name: "six at their start", load: streams(6, 0), has_capacity: true },
+        Case { name: "seven at their start", load: streams(7, 0), has_capacity: true },
+        // The complete responses would need more than the usable memory, although the prompts alone
+        // do not.
+        Case { name: "eight at their start", load: streams(8, 0), has_capacity: false },
+        // The same eight halfway: the first of them end before the last have grown.
         Case { name: "eight halfway", load: streams(8, 1750), has_capacity: true },
         Case { name: "ten halfway", load: streams(10, 1750), has_capacity: false },
         Case {
-            name: "sixteen small ones fill the slots",
+            name: "sixteen small streams fill the slots",
             load: LoadShare { running: 16, prompt_tokens: 160, output_tokens: 160, made_tokens: 0 },
             has_capacity: false,
         },
@@ -247,8 +247,8 @@
     }
     let cases = [
         Case { name: "idle", queued_locally: 0, expected: "p-near" },
-        Case { name: "one prompt ahead", queued_locally: 5000, expected: "p-near" },
-        Case { name: "two prompts ahead", queued_locally: 10_000, expected: "p-far" },
+        Case { name: "one prompt queued", queued_locally: 5000, expected: "p-near" },
+        Case { name: "two prompts queued", queued_locally: 10_000, expected: "p-far" },
     ];
     for case in cases {
         let now = Instant::now();
@@ -262,9 +262,9 @@
     }
 }
 
-/// A decode server crashes. Its streams break, so it has no work and seems
-/// the emptiest of all; each time its pause ends a burst of prompts is read
-/// for it in vain. One request at a time may find out whether it is back.
+/// Guards against bursts of requests to a decode server that has crashed. Its streams break, so it
+/// has no load and looks like the emptiest server; each time its ejection ends, a burst of prompts
+/// would be prefilled for it in vain. Only one request at a time may probe it.
 #[test]
 fn a_failed_server_gets_one_probe_at_a_time() {
     let start = Instant::now();
@@ -276,14 +276,14 @@
         place_engine(fleet, &spec(), &SHAPE, 0, &request(&domain, &[], now))
             .map(|place| place.decode)
     };
-    assert_eq!(place(&fleet, start).as_deref(), Ok("busy"), "within its pause");
+    assert_eq!(place(&fleet, start).as_deref(), Ok("busy"), "during its ejection");
     let later = start + Duration::from_secs(30);
     fleet.add_load("busy", streams(1, 0), later);
-    assert_eq!(place(&fleet, later).as_deref(), Ok("dead"), "the probe");
+    assert_eq!(place(&fleet, later).as_deref(), Ok("dead"), "the first request after the ejection");
     fleet.add_load("dead", streams(1, 0), later);
-    assert_eq!(place(&fleet, later).as_deref(), Ok("busy"), "while the probe is out");
+    assert_eq!(place(&fleet, later).as_deref(), Ok("busy"), "while the probe is in progress");
     record(&mut fleet, "dead", ServerOutcome::Fine, later);
-    assert_eq!(place(&fleet, later).as_deref(), Ok("dead"), "proved well");
+    assert_eq!(place(&fleet, later).as_deref(), Ok("dead"), "after a successful probe");
 }
 
 #[test]
@@ -296,24 +296,29 @@
     assert_eq!(&*placed.server, "b");
 }
 
-/// Eighty gateways each get a stream within one report's time, before any
-/// has heard of the others' choices. Callers would see late first tokens:
-/// with one ranking for all, every prompt queues at one prefill server and
-/// one decode server runs out of memory while the others idle.
+/// Guards against gateways that all choose the same servers. Eighty gateways each place a stream
+/// within one report interval, before any of them receives the others' placements. With the same
+/// ranking at all of them, every prompt queues at one prefill server and one decode server runs out
+/// of memory while the others are idle, and first tokens are late.
 #[test]
 fn gateways_with_the_same_state_choose_different_servers() {
     struct SpreadCase {
         name: &'static str,
         gateways: usize,
-        /// The most of them that may choose one server; a fair draw gives
-        /// 5 in the worst of a hundred tries, for 39 decode servers.
+        /// Maximum number of gateways that may choose one server. A fair random choice gives 5 in
+        /// the worst of a hundred tries, for 39 decode servers.
         max_decode: usize,
         max_prefill: usize,
     }
     let cases = [
-        SpreadCase { name: "one each", gateways: 1, max_decode: 1, max_prefill: 1 },
-        SpreadCase { name: "a burst at few", gateways: 12, max_decode: 3, max_prefill: 4 },
-        SpreadCase { name: "a burst at all", gateways: 80, max_decode: 7, max_prefill: 10 },
+        SpreadCase { name: "one gateway", gateways: 1, max_decode: 1, max_prefill: 1 },
+        SpreadCase { name: "a burst at few gateways", gateways: 12, max_decode: 3, max_prefill: 4 },
+        SpreadCase {
+            name: "a burst at all gateways",
+            gateways: 80,
+            max_decode: 7,
+            max_prefill: 10,
+        },
     ];
     let now = Instant::now();
     let domain: DomainKey = "z1".into();
@@ -338,9 +343,8 @@
     }
 }
 
-/// The preference among equal servers must not outweigh a whole request: a
-/// server that another gateway is known to use is passed over for an idle
-/// one, whichever this gateway prefers.
+/// Guards against a preference among equal servers that outweighs a whole request: a server with
+/// load from a peer is skipped in favour of an idle one, whichever this gateway prefers.
 #[test]
 fn tie_breaking_never_outweighs_a_request() {
     let now = Instant::now();
@@ -356,9 +360,9 @@
     }
 }
 
-/// Readers fail or slow down in a burst, and prompts queue at those left. An
-/// engine that generates reads a prompt more slowly, but at once: past some
-/// queue it is done sooner, and the queue stops growing.
+/// Guards against prefill queues that grow without bound when prefill servers fail or slow down in
+/// a burst. A decode server prefills a prompt more slowly, but immediately: beyond some queue
+/// length it finishes sooner, and the queue stops growing.
 #[test]
 fn a_decode_server_prefills_when_prefill_queues_are_long() {
     struct QueueCase {
@@ -369,12 +373,12 @@
     let cases = [
         QueueCase { name: "idle", queued: [0, 9_000], prefill_server: Some("p-0") },
         QueueCase {
-            name: "some prompts wait",
+            name: "some prompts queued",
             queued: [30_000, 19_000],
             prefill_server: Some("p-1"),
         },
-        QueueCase { name: "one is far behind", queued: [90_000, 0], prefill_server: Some("p-1") },
-        QueueCase { name: "all are far behind", queued: [90_000, 40_000], prefill_server: None },
+        QueueCase { name: "one long queue", queued: [90_000, 0], prefill_server: Some("p-1") },
+        QueueCase { name: "all queues long", queued: [90_000, 40_000], prefill_server: None },
     ];
     for case in cases {
         let now = Instant::now();
--- a/crates/gateway/tests/server_backoffs.rs
+++ b/crates/gateway/tests/server_backoffs.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// The fleet of the gateway `own` with one server, and the incarnation of that server.
+/// Returns the fleet of `local_gateway` with one server, and the incarnation of that server.
 fn fleet(local_gateway: u64) -> (Fleet, ServerIncarnation) {
     let mut fleet = Fleet::new(local_gateway);
     fleet.set_gateways(2);
@@ -113,17 +113,11 @@
     before.record_backoff(server, Duration::from_secs(3), now);
     let (mut peer, _) = fleet(PEER);
     for updates in before.backoff_updates(false, &[], now) {
-        assert!(
-            !peer.apply_peer_backoff(updates, now),
-            "the backoff of another gateway was applied"
-        );
+        assert!(!peer.apply_peer_backoff(updates, now), "the backoff of a peer was applied");
     }
     assert!(is_placed(&peer, now));
     let later = now + Duration::from_secs(1);
-    assert!(
-        peer.backoff_updates(true, &[], later).is_empty(),
-        "reports the backoff of another gateway"
-    );
+    assert!(peer.backoff_updates(true, &[], later).is_empty(), "reports the backoff of a peer");
     let (mut restarted, _) = fleet(LOCAL);
     for updates in peer.backoff_updates(true, &[LOCAL], later) {
         assert!(restarted.apply_peer_backoff(updates, later));
--- a/crates/gateway/tests/stage_balance.rs
+++ b/crates/gateway/tests/stage_balance.rs
@@ -1,4 +1,4 @@
-//! What is learned of engines' work, and how many should read prompts.
+//! Estimates of engines' work, and of how many should prefill prompts.
 
 use std::time::Duration;
 
@@ -6,10 +6,10 @@
 use umberglade_gateway::cluster::StageBalance;
 use umberglade_gateway::model::EngineSpec;
 
-/// The time that every prompt takes besides its tokens, in milliseconds.
+/// Time that every prompt takes apart from its tokens, in milliseconds.
 const BASE_MS: f64 = 110.0;
 
-/// Prompts as they come: short and long, some behind others.
+/// Prompts of mixed lengths, some queued behind others.
 fn prompts() -> impl Iterator<Item = u32> {
     (0..60u32).map(|at| 1000 + (at * 2741) % 9000 + if at % 3 == 0 { 5000 } else { 0 })
 }
@@ -23,7 +23,7 @@
     rate
 }
 
-/// The pace is that of the engine's work on tokens, whatever else passes.
+/// The estimated rate is that of the engine's work on tokens, whatever other time passes.
 #[test]
 fn the_prefill_rate_is_estimated() {
     struct RateCase {
@@ -47,11 +47,11 @@
     }
     let mut new = PrefillRate::default();
     new.note(5000, Duration::from_millis(200));
-    assert_eq!(new.millis_per_token(), None, "one prompt tells nothing");
+    assert_eq!(new.millis_per_token(), None, "one prompt is not enough");
 }
 
-/// Prompts of one length only: all of their time counts as reading, which is
-/// too much rather than too little.
+/// With prompts of one length only, all of their time counts as prefill, which is an overestimate
+/// rather than an underestimate.
 #[test]
 fn prompts_of_one_length_count_in_full() {
     let mut rate = PrefillRate::default();
@@ -60,8 +60,8 @@
     assert!((slope - 0.1).abs() < 0.001, "{slope}");
 }
 
-/// Any stage may be the narrow one: the same streams on engines that read
-/// slowly, have more memory, or few places.
+/// Either stage may be the bottleneck: the same streams on engines that prefill slowly, have more
+/// memory, or have few slots.
 #[test]
 fn target_prefill_servers_follow_the_time_streams_take() {
     struct BalanceCase {
@@ -73,7 +73,7 @@
         expected: usize,
     }
     let base_case = BalanceCase {
-        name: "memory is narrow",
+        name: "memory is the bottleneck",
         tokens_per_ms: 55.0,
         slots: 64,
         kv_tokens: 58_379,
@@ -82,15 +82,20 @@
     };
     let cases = [
         BalanceCase {
-            name: "reading at half the pace",
+            name: "prefill at half the rate",
             tokens_per_ms: 27.0,
             expected: 5,
             ..base_case
         },
-        BalanceCase { name: "at a quarter", tokens_per_ms: 14.0, expected: 7, ..base_case },
+        BalanceCase {
+            name: "prefill at a quarter of the rate",
+            tokens_per_ms: 14.0,
+            expected: 7,
+            ..base_case
+        },
         BalanceCase { name: "twice the memory", kv_tokens: 116_758, expected: 5, ..base_case },
-        BalanceCase { name: "few places", slots: 4, kv_tokens: 1 << 20, expected: 2, ..base_case },
-        BalanceCase { name: "short answers", stay_ms: 400, expected: 9, ..base_case },
+        BalanceCase { name: "few slots", slots: 4, kv_tokens: 1 << 20, expected: 2, ..base_case },
+        BalanceCase { name: "short responses", stay_ms: 400, expected: 9, ..base_case },
         base_case,
     ];
     for case in cases {
--- a/crates/gateway/tests/stage_monitor.rs
+++ b/crates/gateway/tests/stage_monitor.rs
@@ -1,4 +1,4 @@
-//! When engines change between reading prompts and generating.
+//! Changes of engines between the prefill and decode stages.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,7 +13,7 @@
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
-/// The same look each 200 ms.
+/// The same snapshot every 200 ms.
 struct MonitorCase {
     name: &'static str,
     snapshot: StageSnapshot,
@@ -33,34 +33,34 @@
     Some(StageChange { to: ServerStage::Decode, count })
 }
 
-/// In bursts of twice the usual load, callers wait for room to generate while
-/// most prompt readers idle. Engines change when there are clearly more readers
-/// than wanted, or requests have waited for a while, and never so many that reading would be the narrow stage or a
-/// failure domain's loss would leave none.
+/// Guards against requests queued for decode capacity in bursts of twice the usual load while most
+/// prefill servers are idle. Engines change when there are clearly more prefill servers than the
+/// target, or requests have been queued for a while, and never so many that prefill becomes the
+/// bottleneck or the loss of a failure domain leaves none.
 #[test]
 fn stage_changes_follow_the_load() {
     let cases = [
         MonitorCase {
-            name: "calm, a few more readers than wanted",
+            name: "no queue, slightly more prefill servers than the target",
             snapshot: with_target(17, snapshot(21, 6, 39, 0)),
             seconds: 10.0,
             change: None,
         },
-        // Changed in the burst itself, they would be back when it is over.
+        // If changed during the burst, they would be back only when it is over.
         MonitorCase {
-            name: "calm, far more readers than wanted",
+            name: "no queue, far more prefill servers than the target",
             snapshot: with_target(14, snapshot(21, 6, 39, 0)),
             seconds: 3.0,
             change: to_decode(7),
         },
         MonitorCase {
-            name: "calm, what streams take is not known",
+            name: "no queue, target unknown",
             snapshot: snapshot(21, 0, 39, 0),
             seconds: 10.0,
             change: None,
         },
         MonitorCase {
-            name: "short wait",
+            name: "short queue time",
             snapshot: with_target(14, snapshot(21, 7, 39, 5)),
             seconds: 0.5,
             change: None,
@@ -77,21 +77,21 @@
             seconds: 5.0,
             change: None,
         },
-        // Readers idle before a burst; by that alone most of them would go.
+        // Prefill servers are idle before a burst; by that alone most of them would change.
         MonitorCase {
-            name: "idle readers that the burst will need",
+            name: "idle prefill servers that the burst needs",
             snapshot: with_target(21, snapshot(21, 0, 39, 9)),
             seconds: 5.0,
             change: None,
         },
         MonitorCase {
-            name: "idle readers",
+            name: "idle prefill servers",
             snapshot: with_target(0, snapshot(21, 0, 39, 9)),
             seconds: 2.0,
             change: to_decode(13),
         },
         MonitorCase {
-            name: "what streams take is not known",
+            name: "target unknown",
             snapshot: snapshot(21, 0, 39, 9),
             seconds: 5.0,
             change: None,
@@ -109,20 +109,20 @@
             change: None,
         },
         MonitorCase {
-            name: "least readers",
+            name: "minimum number of prefill servers",
             snapshot: with_target(1, snapshot(3, 0, 5, 9)),
             seconds: 5.0,
             change: None,
         },
         MonitorCase {
-            name: "too few readers",
+            name: "too few prefill servers",
             snapshot: with_target(10, snapshot(8, 8, 40, 0)),
             seconds: 6.0,
             change: Some(StageChange { to: ServerStage::Prefill, count: 2 }),
         },
         // A burst of prompts that is over before an engine has changed.
         MonitorCase {
-            name: "busy readers that are enough",
+            name: "busy prefill servers that are enough",
             snapshot: with_target(8, snapshot(8, 8, 40, 0)),
             seconds: 6.0,
             change: None,
@@ -144,8 +144,8 @@
     }
 }
 
-/// After a change the pools rest: engines are away for seconds, and a second
-/// set of orders in that time would answer the same burst twice.
+/// Guards against a second set of stage changes while engines are away for the first, which takes
+/// seconds: both would respond to the same burst.
 #[test]
 fn a_change_is_followed_by_a_cooldown() {
     let start = Instant::now();
@@ -157,8 +157,7 @@
     assert_eq!(first, Some(150));
 }
 
-/// The engines chosen are idle ones, and no failure domain loses more than
-/// its part.
+/// The chosen engines are idle ones, and no failure domain loses more than its share.
 #[test]
 fn engines_change_evenly_over_failure_domains() {
     let now = Instant::now();
@@ -187,18 +186,18 @@
     let available = fleet
         .available_servers("svc", now)
         .filter(|(server_state, _)| server_state.entry.server == chosen[0]);
-    assert_eq!(available.count(), 0, "an engine that changes gets no work");
+    assert_eq!(available.count(), 0, "an engine that changes its stage receives no work");
 }
 
-/// A gateway froze after its claim, and another wants to act: it must wait
-/// until the claim has ended by the store's clock.
+/// Guards against two leaders at a time. A gateway freezes after its claim, and another one that
+/// wants to act must wait until the claim has expired by the store's clock.
 #[test]
 fn leadership_is_claimed_by_one_gateway_at_a_time() {
     let row = LeaderRow { holder: "gw-1".into(), until: Duration::from_secs(20) };
     let cases = [
-        ("nobody has it", None, 0, true),
+        ("not held", None, 0, true),
         ("held", Some(&row), 19, false),
-        ("ended", Some(&row), 20, true),
+        ("expired", Some(&row), 20, true),
     ];
     for (name, row, at, expected) in cases {
         assert_eq!(may_claim(row, Duration::from_secs(at)), expected, "{name}");
