--- a/crates/gateway/src/cluster/load_share.rs
+++ b/crates/gateway/src/cluster/load_share.rs
@@ -7,7 +7,7 @@
 
 /// Upper bound of each field of a load reported by a peer. Far more than one gateway can have at
 /// one server, and small enough that the sum over a thousand gateways does not overflow.
-const MAX_REPORTED: u32 = u32::MAX / 1024;
+const MAX_REPORTED_VALUE: u32 = u32::MAX / 1024;
 
 /// Load on one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -93,10 +93,10 @@
     /// absurd count, and from making a server look full permanently.
     pub fn bounded(self) -> LoadShare {
         LoadShare {
-            running: self.running.min(MAX_REPORTED),
-            prompt_tokens: self.prompt_tokens.min(MAX_REPORTED),
-            output_tokens: self.output_tokens.min(MAX_REPORTED),
-            made_tokens: self.made_tokens.min(MAX_REPORTED),
+            running: self.running.min(MAX_REPORTED_VALUE),
+            prompt_tokens: self.prompt_tokens.min(MAX_REPORTED_VALUE),
+            output_tokens: self.output_tokens.min(MAX_REPORTED_VALUE),
+            made_tokens: self.made_tokens.min(MAX_REPORTED_VALUE),
         }
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -407,8 +407,7 @@
     assert_eq!(available(&fleet, now), ["a", "b"], "after a restart");
 }
 
-/// Guards against a departure that is lost when another gateway reports it before the
-/// server is listed here.
+/// Guards against a departure that is lost when a peer reports it before the server is listed here.
 #[test]
 fn departures_are_kept_for_servers_listed_later() {
     let now = Instant::now();
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -204,8 +204,8 @@
         Case { name: "empty", load: LoadShare::default(), has_capacity: true },
         Case { name: "six at their start", load: streams(6, 0), has_capacity: true },
         Case { name: "seven at their start", load: streams(7, 0), has_capacity: true },
-        // The complete responses would need more than the usable memory, although the prompts alone
-        // do not.
+        // With the new stream, nine complete responses would need more than the usable memory,
+        // although their prompts alone do not.
         Case { name: "eight at their start", load: streams(8, 0), has_capacity: false },
         // The same eight halfway: the first of them end before the last have grown.
         Case { name: "eight halfway", load: streams(8, 1750), has_capacity: true },
--- a/crates/gateway/tests/server_backoffs.rs
+++ b/crates/gateway/tests/server_backoffs.rs
@@ -112,15 +112,15 @@
     let (mut before, server) = fleet(LOCAL);
     before.record_backoff(server, Duration::from_secs(3), now);
     let (mut peer, _) = fleet(PEER);
-    for updates in before.backoff_updates(false, &[], now) {
-        assert!(!peer.apply_peer_backoff(updates, now), "the backoff of a peer was applied");
+    for update in before.backoff_updates(false, &[], now) {
+        assert!(!peer.apply_peer_backoff(update, now), "the backoff of a peer was applied");
     }
     assert!(is_placed(&peer, now));
     let later = now + Duration::from_secs(1);
     assert!(peer.backoff_updates(true, &[], later).is_empty(), "reports the backoff of a peer");
     let (mut restarted, _) = fleet(LOCAL);
-    for updates in peer.backoff_updates(true, &[LOCAL], later) {
-        assert!(restarted.apply_peer_backoff(updates, later));
+    for update in peer.backoff_updates(true, &[LOCAL], later) {
+        assert!(restarted.apply_peer_backoff(update, later));
     }
     assert!(!is_placed(&restarted, now + Duration::from_millis(2990)));
     assert!(is_placed(&restarted, now + Duration::from_millis(3010)));
