--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,6 +1,5 @@
-//! What the gateway believes, and what it decides from that. Nothing here
-//! does I/O or reads a clock: the time is passed in, so every decision can
-//! be tested as a table.
+//! Cluster state, and the decisions based on it. Nothing here does I/O or reads a clock: the time
+//! is passed in, so every decision can be tested with a table of cases.
 
 mod admission_queue;
 mod backoff_update;
@@ -25,7 +24,6 @@
 mod limit_share;
 mod limit_update;
 mod load_share;
-mod news_sample;
 mod outcome_log;
 mod outcome_update;
 mod output_estimate;
@@ -53,11 +51,12 @@
 mod server_shards;
 mod server_state;
 mod stage_balance;
-mod stage_watch;
+mod stage_monitor;
 mod table_readers;
 mod table_row_set;
 mod token_bucket;
 mod typical_timeout;
+mod update_sample;
 
 pub use self::admission_queue::AdmissionQueue;
 pub use self::admission_queue::PeerQueues;
@@ -128,11 +127,11 @@
 pub use self::server_shards::shares_shard;
 pub use self::server_state::ServerState;
 pub use self::stage_balance::StageBalance;
-pub use self::stage_watch::StageChange;
-pub use self::stage_watch::StageSnapshot;
-pub use self::stage_watch::StageWatch;
-pub use self::stage_watch::choose_stage_change;
-pub use self::stage_watch::stage_snapshot;
+pub use self::stage_monitor::StageChange;
+pub use self::stage_monitor::StageMonitor;
+pub use self::stage_monitor::StageSnapshot;
+pub use self::stage_monitor::choose_stage_change;
+pub use self::stage_monitor::stage_snapshot;
 pub use self::table_readers::ReadRole;
 pub use self::table_readers::ReaderNotice;
 pub use self::table_readers::ReaderRank;
