--- a/crates/gateway/src/cluster/broken_start.rs
+++ b/crates/gateway/src/cluster/broken_start.rs
@@ -1,42 +1,42 @@
-//! One start of a server at which sends break.
+//! One server incarnation at which attempts break.
 
 use std::time::Duration;
 use std::time::Instant;
 
-use super::crash_record::SAME_CRASH;
+use super::crash_record::SAME_CRASH_WINDOW;
 
-/// Sends that break this soon after another at the same start of a server say
-/// that it is still out of order.
-const STILL_OUT: Duration = Duration::from_secs(3);
+/// An attempt that breaks this soon after another at the same server incarnation shows that
+/// the server is still out of order.
+const OUTAGE_WINDOW: Duration = Duration::from_secs(3);
 
-/// A start of a server that has answered nothing since a send to it broke.
+/// A server incarnation that has not responded since an attempt broke at it.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BrokenStart {
-    /// When the first send broke.
-    pub at: Instant,
-    /// When the last did.
-    pub broke_at: Instant,
+    /// When the first attempt broke.
+    pub first_broken_at: Instant,
+    /// When the last attempt broke.
+    pub last_broken_at: Instant,
 }
 
 impl BrokenStart {
-    /// A further send broke: true when the server has not been at work since the
-    /// first, and so has not crashed anew.
+    /// Records another broken attempt. Returns true if the server has not worked since the
+    /// first one, and thus has not crashed again.
     ///
-    /// Guards against an outage of a whole service, or of the way there, in
-    /// which each send breaks and no server crashes: what is asked for often would
-    /// be held back until long after it. One that comes much later may have
-    /// found the server at work for others.
-    pub fn is_outage(&mut self, now: Instant) -> bool {
-        let is_still_out = now.saturating_duration_since(self.broke_at) < STILL_OUT;
-        self.broke_at = now;
-        if !is_still_out {
-            self.at = now;
+    /// Prevents the quarantine of frequent requests in an outage of a whole service or of the
+    /// network path to it, where every attempt breaks and no server crashes; the quarantine
+    /// would last until long after the outage. An attempt that breaks much later may have found
+    /// the server at work for other requests.
+    pub fn extends_outage(&mut self, now: Instant) -> bool {
+        let is_same_outage = now.saturating_duration_since(self.last_broken_at) < OUTAGE_WINDOW;
+        self.last_broken_at = now;
+        if !is_same_outage {
+            self.first_broken_at = now;
         }
-        now.saturating_duration_since(self.at) >= SAME_CRASH
+        now.saturating_duration_since(self.first_broken_at) >= SAME_CRASH_WINDOW
     }
 
-    /// True while it says anything of further sends.
+    /// Returns true while this affects how further broken attempts are judged.
     pub fn is_live(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.broke_at) < STILL_OUT
+        now.saturating_duration_since(self.last_broken_at) < OUTAGE_WINDOW
     }
 }
--- a/crates/gateway/src/cluster/crash_detector.rs
+++ b/crates/gateway/src/cluster/crash_detector.rs
@@ -1,4 +1,4 @@
-//! Which requests crash the servers that run them, and may run no more.
+//! Detection of poison requests: requests that crash the servers that run them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,182 +20,189 @@
 use crate::model::RequestFingerprint;
 use crate::model::ServerIncarnation;
 
-/// An answer that is known to be earlier than a crash counts as this much
-/// earlier.
-const JUST_BEFORE: Duration = Duration::from_millis(1);
-/// Within this gateways that hear one that has begun have told it all.
-const HEAR_TIME: Duration = Duration::from_millis(600);
-/// Within this all gateways heard have told what they still tell.
-const LEARN_TIME: Duration = Duration::from_secs(3);
+/// A completion that is known to precede a crash is dated this much before it.
+const MIN_COMPLETION_LEAD: Duration = Duration::from_millis(1);
+/// Peers that receive reports from a newly started gateway have sent it all their outcomes
+/// within this time.
+const FIRST_REPORTS_WINDOW: Duration = Duration::from_millis(600);
+/// All peers from which reports arrive have sent the outcomes that they still report within
+/// this time.
+const WARM_UP_WINDOW: Duration = Duration::from_secs(3);
 
-/// Contents under which servers have crashed (poison requests).
+/// Crashes by request fingerprint, and the fingerprints that are quarantined.
 ///
-/// Guards against one request that crashes server after server: under new ids it
-/// comes at any gateway, each time as a first send. By its content it is the
-/// same request. Gateways tell each other under which content their sends broke;
-/// one under which three servers crashed, with no whole answer between, is held
-/// back by all, and the store holds that for gateways to come. It stays so until
-/// a request of it is answered whole: one that is on its way, or a probe, of
-/// which there is one at a time.
+/// Prevents a single poison request from crashing server after server. Such a request
+/// arrives at any gateway under new ids, each time as a first attempt, and only its
+/// fingerprint shows that it is the same request. Gateways report to each other under which
+/// fingerprints their attempts broke. A fingerprint under which three servers crashed, with
+/// no completion in between, is quarantined by all gateways, and the store records this for
+/// gateways that start later. The quarantine lasts until a request with the fingerprint
+/// completes: one in flight, or a probe, of which there is one at a time.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    /// When the gateway began to hear the others; `None` for long ago.
-    begun: Option<Instant>,
+    /// When the gateway began to receive reports from peers; `None` for long ago.
+    started_at: Option<Instant>,
     pub(super) records: CrashRecords,
-    /// Starts of servers at which a send broke and that have answered nothing
-    /// since.
-    broken: FxHashMap<ServerIncarnation, BrokenStart>,
+    /// Server incarnations at which an attempt broke and that have not responded since.
+    broken_starts: FxHashMap<ServerIncarnation, BrokenStart>,
     recent: RecentCompletions,
     pub(super) log: OutcomeLog,
     pub(super) row_changes: Vec<RowChange>,
-    /// Held back, and let off since others explain the crashes.
-    let_off: Vec<RequestFingerprint>,
+    /// Fingerprints that were quarantined and then released because another one explains the
+    /// crashes.
+    released: Vec<RequestFingerprint>,
 }
 
 impl CrashDetector {
-    /// The watch of a gateway that has heard nobody yet.
-    pub fn new(begun: Instant) -> Self {
-        CrashDetector { begun: Some(begun), ..CrashDetector::default() }
+    /// Returns the detector of a gateway that has received no reports yet.
+    pub fn new(started_at: Instant) -> Self {
+        CrashDetector { started_at: Some(started_at), ..CrashDetector::default() }
     }
 
-    /// A send of `content` broke at a start of a server, which had given events
-    /// for `lived`.
-    pub fn note_crash(
+    /// Records that an attempt of `fingerprint` broke at a server incarnation after it had sent
+    /// events for `run_duration`.
+    pub fn record_crash(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         incarnation: ServerIncarnation,
-        lived: Duration,
+        run_duration: Duration,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        let start =
-            self.broken.entry(incarnation).or_insert(BrokenStart { at: now, broke_at: now });
-        if start.is_outage(now) {
+        let start = self
+            .broken_starts
+            .entry(incarnation)
+            .or_insert(BrokenStart { first_broken_at: now, last_broken_at: now });
+        if start.extends_outage(now) {
             return None;
         }
-        let record = self.crash_record(content, now, now);
-        let crash = record.note_own(incarnation, now);
-        if lived > record.lived {
-            record.lived = lived;
-            self.log.push(content, SendOutcome::Lived(lived.as_millis() as u32), now);
-            self.excuse_long_lived(now);
+        let record = self.crash_record(fingerprint, now, now);
+        let crash = record.record_local_crash(incarnation, now);
+        if run_duration > record.longest_run {
+            record.longest_run = run_duration;
+            self.log.push(fingerprint, SendOutcome::Lived(run_duration.as_millis() as u32), now);
+            self.release_long_running(now);
         }
         let id = crash?;
-        // A probe that met a crash known before has told nothing.
-        self.change_quarantine(content, Quarantine::spend_probe);
-        if self.records.is_explained(content, id, now) {
+        // A probe that met an already known crash gives no information and is not consumed.
+        self.change_quarantine(fingerprint, Quarantine::consume_probe);
+        if self.records.exclude_if_explained(fingerprint, id, now) {
             return None;
         }
-        self.log.push(content, SendOutcome::Crashed(id), now);
-        self.weigh_crash(content, now)
+        self.log.push(fingerprint, SendOutcome::Crashed(id), now);
+        self.evaluate_crash(fingerprint, now)
     }
 
-    /// A request of `content` was answered whole by a start of a server, which
-    /// lived on.
-    pub fn note_whole(
+    /// Records that a request of `fingerprint` completed at a server incarnation, which kept
+    /// running.
+    pub fn record_completion(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         incarnation: ServerIncarnation,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        self.broken.remove(&incarnation);
-        self.recent.note(content, now);
-        let record = self.records.get_mut(content)?;
+        self.broken_starts.remove(&incarnation);
+        self.recent.record(fingerprint, now);
+        let record = self.records.get_mut(fingerprint)?;
         if record.crashes() > 0 || record.quarantine.is_some() {
-            self.log.push(content, SendOutcome::Whole, now);
+            self.log.push(fingerprint, SendOutcome::Whole, now);
         }
-        record.note_whole(now);
-        self.clear(content, now)
+        record.record_completion(now);
+        self.clear(fingerprint, now)
     }
 
-    /// Another gateway tells of an outcome.
-    pub fn hear(&mut self, news: OutcomeUpdate, now: Instant) -> Option<QuarantineChange> {
-        let age = Duration::from_millis(u64::from(news.age_ms));
+    /// Applies an outcome reported by a peer.
+    pub fn apply_peer_outcome(
+        &mut self,
+        update: OutcomeUpdate,
+        now: Instant,
+    ) -> Option<QuarantineChange> {
+        let age = Duration::from_millis(u64::from(update.age_ms));
         let at = now.checked_sub(age).unwrap_or(now);
-        let since = self.learns_since(now);
-        match news.outcome {
+        let since = self.warm_up_start(now);
+        match update.outcome {
             SendOutcome::Crashed(id) => {
-                let is_new = self.crash_record(news.content, at, now).note_heard(id, at);
-                if !is_new || self.records.is_explained(news.content, id, now) {
+                let is_new = self.crash_record(update.content, at, now).record_peer_crash(id, at);
+                if !is_new || self.records.exclude_if_explained(update.content, id, now) {
                     return None;
                 }
-                self.weigh_crash(news.content, now)
+                self.evaluate_crash(update.content, now)
             }
             SendOutcome::Lived(lived_ms) => {
-                let record = self.records.get_mut(news.content)?;
-                let lived = Duration::from_millis(u64::from(lived_ms));
-                record.lived = record.lived.max(lived);
-                self.excuse_long_lived(now);
+                let record = self.records.get_mut(update.content)?;
+                let run_duration = Duration::from_millis(u64::from(lived_ms));
+                record.longest_run = record.longest_run.max(run_duration);
+                self.release_long_running(now);
                 None
             }
             SendOutcome::Cleared(version) => {
-                let record = self.records.entry(news.content);
-                record.note_void_rows(version, now);
+                let record = self.records.entry(update.content);
+                record.record_void_rows(version, now);
                 let is_void = |of: &mut Quarantine| of.version > 0 && of.version <= version;
                 record.quarantine.take_if(is_void)?;
-                self.records.note_explained();
+                self.records.refresh_explained();
                 Some(QuarantineChange::Cleared)
             }
             SendOutcome::Whole => {
                 if since.is_some() {
-                    // Ends before it may be told later.
-                    self.records.entry(news.content);
+                    // Crashes before this completion may be reported later.
+                    self.records.entry(update.content);
                 }
-                let record = self.records.get_mut(news.content)?;
-                record.note_whole(at);
-                let is_cleared = !record.is_suspect(since, now)
+                let record = self.records.get_mut(update.content)?;
+                record.record_completion(at);
+                let is_cleared = !record.is_poison_suspect(since, now)
                     && record.quarantine.is_some_and(|of| of.version == 0 || of.since < at);
-                if is_cleared { self.clear(news.content, now) } else { None }
+                if is_cleared { self.clear(update.content, now) } else { None }
             }
         }
     }
 
-    /// Decides on a request that has just come; a probe that is due is left to
-    /// this request alone for a while.
-    pub fn admit(&mut self, content: RequestFingerprint, now: Instant) -> QuarantineVerdict {
-        let Some(held) = self.held(content, now) else { return QuarantineVerdict::Admitted };
-        let record = self.records.get_mut(content);
+    /// Decides on a new request. A due probe is reserved for this request for a while.
+    pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Instant) -> QuarantineVerdict {
+        let Some(info) = self.status(fingerprint, now) else { return QuarantineVerdict::Admitted };
+        let record = self.records.get_mut(fingerprint);
         let quarantine = record.and_then(|record| record.quarantine.as_mut());
         let Some(quarantine) = quarantine else { return QuarantineVerdict::Admitted };
         if quarantine.may_probe(now) {
             quarantine.begin_probe();
-            return QuarantineVerdict::Probe(held);
+            return QuarantineVerdict::Probe(info);
         }
-        if !held.left.is_zero() {
-            return QuarantineVerdict::HeldBack(held);
+        if !info.until_probe.is_zero() {
+            return QuarantineVerdict::Quarantined(info);
         }
         quarantine.begin_claim(now);
-        QuarantineVerdict::ProbeDue(held)
+        QuarantineVerdict::ProbeDue(info)
     }
 
-    /// The probe of `content` that this gateway has claimed goes out.
-    pub fn begin_probe(&mut self, content: RequestFingerprint) {
-        self.change_quarantine(content, Quarantine::begin_probe);
+    /// Records that the probe of `fingerprint` that this gateway has claimed is sent.
+    pub fn begin_probe(&mut self, fingerprint: RequestFingerprint) {
+        self.change_quarantine(fingerprint, Quarantine::begin_probe);
     }
 
-    /// The request that was the probe is over, whatever came of it.
-    pub fn end_probe(&mut self, content: RequestFingerprint, now: Instant) {
-        self.change_quarantine(content, |quarantine| quarantine.end_probe(now));
+    /// Records that the probe request has ended, whatever its outcome.
+    pub fn end_probe(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        self.change_quarantine(fingerprint, |quarantine| quarantine.end_probe(now));
     }
 
     fn change_quarantine(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         change: impl FnOnce(&mut Quarantine),
     ) {
-        let record = self.records.get_mut(content);
+        let record = self.records.get_mut(fingerprint);
         if let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) {
             change(quarantine);
         }
     }
 
-    /// The claim of the probe of `content` failed: it is made again soon.
-    pub fn end_claim(&mut self, content: RequestFingerprint, now: Instant) {
-        self.change_quarantine(content, |quarantine| quarantine.end_claim(now));
+    /// Records that the claim of the probe of `fingerprint` failed; it is retried after a short
+    /// delay.
+    pub fn fail_claim(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        self.change_quarantine(fingerprint, |quarantine| quarantine.fail_claim(now));
     }
 
-    /// This gateway makes the probe that is due without a claim.
-    pub fn note_unclaimed_probe(&mut self, content: RequestFingerprint, now: Instant) {
-        self.change_quarantine(content, |quarantine| {
+    /// Starts the due probe without a claim.
+    pub fn begin_unclaimed_probe(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        self.change_quarantine(fingerprint, |quarantine| {
             let was_shared = quarantine.was_shared;
             *quarantine = Quarantine::new(quarantine.probes + 1, quarantine.version, now);
             quarantine.was_shared = was_shared;
@@ -203,167 +210,176 @@
         });
     }
 
-    /// How `content` is held back; `None` when it is not.
-    pub fn held(&self, content: RequestFingerprint, now: Instant) -> Option<QuarantineStatus> {
-        let record = self.records.get(content)?;
+    /// Returns the quarantine status of `fingerprint`, or `None` if it is not quarantined.
+    pub fn status(
+        &self,
+        fingerprint: RequestFingerprint,
+        now: Instant,
+    ) -> Option<QuarantineStatus> {
+        let record = self.records.get(fingerprint)?;
         let quarantine = record.quarantine?;
-        let awaits_probe = quarantine.awaits_probe(now);
-        let in_company = self.records.place_in_company(content);
-        let place = in_company.or(awaits_probe.then_some(0));
-        let is_shared = awaits_probe || (in_company.is_some() && record.is_undecided());
-        // Its row is all that is known, and others may be about to say more.
-        let age = self.begun.map(|begun| now.saturating_duration_since(begun));
-        let is_unheard = record.crashes() == 0 && age.is_some_and(|age| age < HEAR_TIME);
+        let awaits_first_probe = quarantine.awaits_first_probe(now);
+        let shared_rank = self.records.shared_crash_rank(fingerprint);
+        let rank = shared_rank.or(awaits_first_probe.then_some(0));
+        let is_shared = awaits_first_probe || (shared_rank.is_some() && record.is_provisional());
+        // Only the row is known, and peers may still report more.
+        let age = self.started_at.map(|started_at| now.saturating_duration_since(started_at));
+        let awaits_reports =
+            record.crashes() == 0 && age.is_some_and(|age| age < FIRST_REPORTS_WINDOW);
         Some(QuarantineStatus {
             crashes: record.crashes(),
             probes: quarantine.probes,
             version: quarantine.version,
             age: now.saturating_duration_since(quarantine.since),
-            left: quarantine.time_left(place, now),
-            is_undecided: is_shared || is_unheard,
+            until_probe: quarantine.time_until_probe(rank, now),
+            is_provisional: is_shared || awaits_reports,
         })
     }
 
-    /// Server crashes under `content` since it was last answered whole.
-    pub fn crashes(&self, content: RequestFingerprint) -> usize {
-        self.records.get(content).map_or(0, CrashRecord::crashes)
+    /// Returns the number of server crashes under `fingerprint` since its last completion.
+    pub fn crashes(&self, fingerprint: RequestFingerprint) -> usize {
+        self.records.get(fingerprint).map_or(0, CrashRecord::crashes)
     }
 
-    /// What a report tells the others; with `tells_all` also what they were
-    /// told before.
-    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
-        self.log.news(tells_all, now)
+    /// Returns the outcomes for a report to peers; with `reports_all`, also those sent in
+    /// earlier reports.
+    pub fn updates(&mut self, reports_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
+        self.log.updates(reports_all, now)
     }
 
-    /// Forgets what is past; what was held back until now and is no longer. Its
-    /// row is removed by the gateway that `removes_rows`.
+    /// Removes expired state, and returns the fingerprints whose quarantine expired with it.
+    /// Their rows are removed if `removes_rows`.
     pub fn tick(&mut self, removes_rows: bool, now: Instant) -> Vec<RequestFingerprint> {
         let mut forgotten = Vec::new();
-        for (content, record) in self.records.iter_mut() {
-            if let Some(quarantine) = record.quarantine.take_if(|of| of.is_unasked(now)) {
-                forgotten.push((content, quarantine.version));
+        for (fingerprint, record) in self.records.iter_mut() {
+            if let Some(quarantine) = record.quarantine.take_if(|of| of.is_idle(now)) {
+                forgotten.push((fingerprint, quarantine.version));
             }
         }
         self.records.retain(|record| record.is_live(now));
-        self.broken.retain(|_, start| start.is_live(now));
+        self.broken_starts.retain(|_, start| start.is_live(now));
         if !forgotten.is_empty() {
-            self.records.note_explained();
+            self.records.refresh_explained();
         }
-        for (content, version) in forgotten.iter().filter(|_| removes_rows) {
-            self.queue_removal(*content, *version, now);
+        for (fingerprint, version) in forgotten.iter().filter(|_| removes_rows) {
+            self.queue_removal(*fingerprint, *version, now);
         }
-        forgotten.into_iter().map(|(content, _)| content).collect()
+        forgotten.into_iter().map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    /// Contents remembered.
+    /// Returns the number of fingerprints that have a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// True when no content is remembered.
+    /// Returns true if no fingerprint has a record.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Contents held back.
-    pub fn held_count(&self) -> usize {
-        self.records.held().count()
+    /// Returns the number of quarantined fingerprints.
+    pub fn quarantined_count(&self) -> usize {
+        self.records.quarantined().count()
     }
 
-    /// A further crash of a server is known under `content`.
-    fn weigh_crash(
+    /// Reevaluates `fingerprint` after another server crash under it.
+    fn evaluate_crash(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        if self.records.get(content)?.quarantine.is_none() {
-            return self.judge(content, now);
+        if self.records.get(fingerprint)?.quarantine.is_none() {
+            return self.quarantine_if_suspect(fingerprint, now);
         }
-        self.excuse_others(now);
+        self.exclude_explained_crashes(now);
         None
     }
 
-    /// Holds `content` back if servers crash under it.
-    pub fn judge(&mut self, content: RequestFingerprint, now: Instant) -> Option<QuarantineChange> {
-        let since = self.learns_since(now);
-        let record = self.records.get_mut(content)?;
-        if record.quarantine.is_some() || !record.is_suspect(since, now) {
+    /// Quarantines `fingerprint` if servers crash under it.
+    pub fn quarantine_if_suspect(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        now: Instant,
+    ) -> Option<QuarantineChange> {
+        let since = self.warm_up_start(now);
+        let record = self.records.get_mut(fingerprint)?;
+        if record.quarantine.is_some() || !record.is_poison_suspect(since, now) {
             return None;
         }
         record.quarantine = Some(Quarantine::new(0, 0, now));
-        let has_own = record.has_own;
-        self.excuse_others(now);
-        self.excuse_long_lived(now);
+        let has_local_crash = record.has_local_crash;
+        self.exclude_explained_crashes(now);
+        self.release_long_running(now);
         self.records.mark_shared();
-        // Let off at once.
-        self.records.get(content)?.quarantine?;
-        // Those that saw it crash a server write the row; the first wins.
-        if has_own {
-            self.queue(RowChange::Write(content));
+        // The fingerprint may have been released already.
+        self.records.get(fingerprint)?.quarantine?;
+        // Every gateway that saw one of the crashes itself writes the row; the store accepts the
+        // first write.
+        if has_local_crash {
+            self.queue_row_change(RowChange::Write(fingerprint));
         }
         Some(QuarantineChange::HeldBack)
     }
 
-    /// Since when this gateway has heard all that happened, while that is not
-    /// long.
+    /// Returns the start of this gateway while it warms up, and `None` later.
     ///
-    /// Guards against sound requests that are held back on half of what
-    /// happened: one gateway tells at once of servers that crashed in the last
-    /// seconds, and another a little later of the whole answers between.
-    fn learns_since(&self, now: Instant) -> Option<Instant> {
-        self.begun.filter(|begun| now.saturating_duration_since(*begun) < LEARN_TIME)
+    /// From its start on, the gateway knows all that happened. Prevents the quarantine of
+    /// harmless requests on partial knowledge: one peer immediately reports server crashes of
+    /// the last seconds, and another reports the completions in between a little later.
+    fn warm_up_start(&self, now: Instant) -> Option<Instant> {
+        self.started_at
+            .filter(|started_at| now.saturating_duration_since(*started_at) < WARM_UP_WINDOW)
     }
 
-    /// Server crashes under contents held back do not count for the others, and
-    /// are told no more of these.
-    pub(super) fn excuse_others(&mut self, now: Instant) {
-        let excused = self.records.excuse_others(now);
-        self.log.retain_crashes(|content, id| !excused.contains(content, id));
+    /// Excludes the server crashes under quarantined fingerprints from the records of all
+    /// others, and stops reporting them for those.
+    pub(super) fn exclude_explained_crashes(&mut self, now: Instant) {
+        let excluded = self.records.exclude_explained_crashes(now);
+        self.log.retain_crashes(|fingerprint, id| !excluded.contains(fingerprint, id));
     }
 
-    /// Lets off contents of which a run went on far longer than any of another
-    /// that is held back for the same server crashes.
+    /// Releases fingerprints of which a run lasted much longer than any run of another
+    /// fingerprint that is quarantined for the same server crashes.
     ///
-    /// Guards against a popular request that is held back with a fatal one, under
-    /// which servers crashed before anything was answered whole.
-    fn excuse_long_lived(&mut self, now: Instant) {
-        for content in self.records.long_lived() {
-            let version = self.records.let_off(content, now);
-            self.log.retain_crashes(|of, _| of != content);
-            self.queue_removal(content, version, now);
-            self.let_off.push(content);
+    /// Prevents a popular request from staying quarantined together with a poison request that
+    /// crashed servers before any request completed.
+    fn release_long_running(&mut self, now: Instant) {
+        for fingerprint in self.records.long_running() {
+            let version = self.records.release(fingerprint, now);
+            self.log.retain_crashes(|of, _| of != fingerprint);
+            self.queue_removal(fingerprint, version, now);
+            self.released.push(fingerprint);
         }
     }
 
-    /// Takes the contents that were held back and are not, since another explains
-    /// the crashes.
-    pub fn take_let_off(&mut self) -> Vec<RequestFingerprint> {
-        std::mem::take(&mut self.let_off)
+    /// Takes the fingerprints that were released because another one explains the crashes.
+    pub fn take_released(&mut self) -> Vec<RequestFingerprint> {
+        std::mem::take(&mut self.released)
     }
 
-    fn clear(&mut self, content: RequestFingerprint, now: Instant) -> Option<QuarantineChange> {
-        let quarantine = self.records.get_mut(content)?.quarantine.take()?;
-        self.records.note_explained();
-        self.queue_removal(content, quarantine.version, now);
+    fn clear(&mut self, fingerprint: RequestFingerprint, now: Instant) -> Option<QuarantineChange> {
+        let quarantine = self.records.get_mut(fingerprint)?.quarantine.take()?;
+        self.records.refresh_explained();
+        self.queue_removal(fingerprint, quarantine.version, now);
         Some(QuarantineChange::Cleared)
     }
 
-    /// The record of `content`, under which a server crashed at `at`. Before the
-    /// first of a series of crashes stands what this gateway has seen of the
-    /// content lately, of which the others are told.
+    /// Returns the record of `fingerprint`, under which a server crashed at `at`. Before the
+    /// first crash of a series, a recent completion of the fingerprint at this gateway is
+    /// recorded, and reported to peers.
     fn crash_record(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         at: Instant,
         now: Instant,
     ) -> &mut CrashRecord {
-        let is_recent = self.recent.contains(content, now);
-        let record = self.records.entry(content);
+        let is_recent = self.recent.contains(fingerprint, now);
+        let record = self.records.entry(fingerprint);
         if record.crashes() == 0 && record.quarantine.is_none() && is_recent {
-            let before = at.checked_sub(JUST_BEFORE).unwrap_or(at);
-            record.note_whole(before);
-            self.log.push(content, SendOutcome::Whole, before);
+            let before = at.checked_sub(MIN_COMPLETION_LEAD).unwrap_or(at);
+            record.record_completion(before);
+            self.log.push(fingerprint, SendOutcome::Whole, before);
         }
-        self.records.entry(content)
+        self.records.entry(fingerprint)
     }
 }
--- a/crates/gateway/src/cluster/crash_records.rs
+++ b/crates/gateway/src/cluster/crash_records.rs
@@ -1,4 +1,4 @@
-//! The records of all contents under which servers have crashed.
+//! The records of all fingerprints under which servers have crashed.
 
 use std::cmp::Reverse;
 use std::time::Instant;
@@ -12,177 +12,179 @@
 use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
-/// Contents remembered at most, some 250 bytes each: those on a hundred servers
-/// that crash in one moment. Beyond that the least telling go.
+/// Maximum number of records, of some 250 bytes each: enough for the requests on a hundred
+/// servers that crash at one moment. Beyond it, the least informative records are evicted.
 const MAX_RECORDS: usize = 1024;
 
-/// Records by content, and which server crashes the contents held back explain.
+/// Records by fingerprint, and the server crashes that quarantined fingerprints explain.
 #[derive(Debug, Default)]
 pub(super) struct CrashRecords {
     /// Invariant: at most [`MAX_RECORDS`].
     records: FxHashMap<RequestFingerprint, CrashRecord>,
-    /// Invariant: after [`note_explained`](Self::note_explained), the server
-    /// crashes under contents that are held back.
+    /// Invariant: after [`refresh_explained`](Self::refresh_explained), the server crashes
+    /// under quarantined fingerprints.
     explained: FxHashSet<CrashId>,
 }
 
 impl CrashRecords {
-    /// The record of `content`, if there is one.
-    pub fn get(&self, content: RequestFingerprint) -> Option<&CrashRecord> {
-        self.records.get(&content)
+    pub fn get(&self, fingerprint: RequestFingerprint) -> Option<&CrashRecord> {
+        self.records.get(&fingerprint)
     }
 
-    /// The record of `content`, if there is one.
-    pub fn get_mut(&mut self, content: RequestFingerprint) -> Option<&mut CrashRecord> {
-        self.records.get_mut(&content)
+    pub fn get_mut(&mut self, fingerprint: RequestFingerprint) -> Option<&mut CrashRecord> {
+        self.records.get_mut(&fingerprint)
     }
 
-    /// The record of `content`, which is made if there is none.
-    pub fn entry(&mut self, content: RequestFingerprint) -> &mut CrashRecord {
-        if !self.records.contains_key(&content) {
-            self.make_room();
+    /// Returns the record of `fingerprint`, and creates it if there is none.
+    pub fn entry(&mut self, fingerprint: RequestFingerprint) -> &mut CrashRecord {
+        if !self.records.contains_key(&fingerprint) {
+            self.evict_if_full();
         }
-        self.records.entry(content).or_default()
+        self.records.entry(fingerprint).or_default()
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.records.len() < MAX_RECORDS {
             return;
         }
-        let least = self.records.iter().min_by_key(|(_, record)| record.weight());
-        if let Some(content) = least.map(|(content, _)| *content) {
-            self.records.remove(&content);
+        let least = self.records.iter().min_by_key(|(_, record)| record.retention_priority());
+        if let Some(fingerprint) = least.map(|(fingerprint, _)| *fingerprint) {
+            self.records.remove(&fingerprint);
         }
     }
 
-    /// All records, to change them.
+    /// Iterates over all records mutably.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (RequestFingerprint, &mut CrashRecord)> {
-        self.records.iter_mut().map(|(content, record)| (*content, record))
+        self.records.iter_mut().map(|(fingerprint, record)| (*fingerprint, record))
     }
 
-    /// Keeps the records that `is_kept`.
+    /// Keeps the records for which `is_kept` returns true.
     pub fn retain(&mut self, is_kept: impl Fn(&CrashRecord) -> bool) {
         self.records.retain(|_, record| is_kept(record));
     }
 
-    /// The contents that are held back.
-    pub fn held(&self) -> impl Iterator<Item = (RequestFingerprint, &CrashRecord)> {
-        let all = self.records.iter().map(|(content, record)| (*content, record));
+    /// Returns the quarantined fingerprints.
+    pub fn quarantined(&self) -> impl Iterator<Item = (RequestFingerprint, &CrashRecord)> {
+        let all = self.records.iter().map(|(fingerprint, record)| (*fingerprint, record));
         all.filter(|(_, record)| record.quarantine.is_some())
     }
 
-    /// Contents remembered.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Where `content` stands among the contents that are held back for the same
-    /// server crashes; `None` when it shares none.
+    /// Returns the rank of `fingerprint` among the fingerprints that are quarantined for the
+    /// same server crashes, or `None` if it shares none.
     ///
-    /// Those whose runs lived longest go first, as the likeliest to be sound.
-    pub fn place_in_company(&self, content: RequestFingerprint) -> Option<usize> {
-        let record = self.records.get(&content)?;
-        let rank = |content, record: &CrashRecord| (Reverse(record.lived), content);
-        let is_company = |other: &&(RequestFingerprint, &CrashRecord)| {
+    /// Those with the longest runs rank first, as the most likely to be harmless.
+    pub fn shared_crash_rank(&self, fingerprint: RequestFingerprint) -> Option<usize> {
+        let record = self.records.get(&fingerprint)?;
+        let rank = |fingerprint, record: &CrashRecord| (Reverse(record.longest_run), fingerprint);
+        let shares_crashes = |other: &&(RequestFingerprint, &CrashRecord)| {
             let (other, of) = **other;
-            other != content && of.is_undecided() && of.shares_crash(record)
+            other != fingerprint && of.is_provisional() && of.shares_crash(record)
         };
-        let held: SmallVec<[_; 4]> = self.held().collect();
-        let company: SmallVec<[_; 4]> = held.iter().filter(is_company).collect();
-        if company.is_empty() {
+        let quarantined: SmallVec<[_; 4]> = self.quarantined().collect();
+        let others: SmallVec<[_; 4]> = quarantined.iter().filter(shares_crashes).collect();
+        if others.is_empty() {
             return None;
         }
-        let own = rank(content, record);
-        Some(company.iter().filter(|(other, of)| rank(*other, of) < own).count())
+        let own_rank = rank(fingerprint, record);
+        Some(others.iter().filter(|(other, of)| rank(*other, of) < own_rank).count())
     }
 
-    /// Marks the contents that are held back for the same server crashes as others.
+    /// Marks the fingerprints that are quarantined for the same server crashes as others.
     pub fn mark_shared(&mut self) {
-        let held: SmallVec<[RequestFingerprint; 4]> =
-            self.held().map(|(content, _)| content).collect();
-        for content in held {
-            if self.place_in_company(content).is_none() {
+        let quarantined: SmallVec<[RequestFingerprint; 4]> =
+            self.quarantined().map(|(fingerprint, _)| fingerprint).collect();
+        for fingerprint in quarantined {
+            if self.shared_crash_rank(fingerprint).is_none() {
                 continue;
             }
-            let record = self.records.get_mut(&content);
+            let record = self.records.get_mut(&fingerprint);
             if let Some(quarantine) = record.and_then(|record| record.quarantine.as_mut()) {
                 quarantine.was_shared = true;
             }
         }
     }
 
-    /// Contents held back of which a run outlived by far all runs of another that
-    /// is held back for the same server crashes.
-    pub fn long_lived(&self) -> SmallVec<[RequestFingerprint; 2]> {
-        let undecided = || self.held().filter(|(_, record)| record.is_undecided());
-        let is_explained = |content: RequestFingerprint, record: &CrashRecord| {
-            undecided().any(|(other, of)| {
-                other != content && record.outlives(of) && of.shares_crash(record)
+    /// Returns the quarantined fingerprints of which a run lasted much longer than all runs of
+    /// another that is quarantined for the same server crashes.
+    pub fn long_running(&self) -> SmallVec<[RequestFingerprint; 2]> {
+        let provisional = || self.quarantined().filter(|(_, record)| record.is_provisional());
+        let is_explained = |fingerprint: RequestFingerprint, record: &CrashRecord| {
+            provisional().any(|(other, of)| {
+                other != fingerprint && record.ran_much_longer_than(of) && of.shares_crash(record)
             })
         };
-        let all = undecided().filter(|(content, record)| is_explained(*content, record));
-        all.map(|(content, _)| content).collect()
+        let all = provisional().filter(|(fingerprint, record)| is_explained(*fingerprint, record));
+        all.map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    /// Ends holding `content` back, and takes back the crashes that those still
-    /// held back explain; the version of its row.
-    pub fn let_off(&mut self, content: RequestFingerprint, now: Instant) -> StoreVersion {
-        let Some(record) = self.records.get_mut(&content) else { return 0 };
+    /// Ends the quarantine of `fingerprint` and removes the crashes that the remaining
+    /// quarantined fingerprints explain. Returns the version of its row.
+    pub fn release(&mut self, fingerprint: RequestFingerprint, now: Instant) -> StoreVersion {
+        let Some(record) = self.records.get_mut(&fingerprint) else { return 0 };
         let quarantine = record.quarantine.take();
-        self.note_explained();
-        if let Some(record) = self.records.get_mut(&content) {
-            record.forget_crashes(&self.explained);
-            record.let_off_at = Some(now);
+        self.refresh_explained();
+        if let Some(record) = self.records.get_mut(&fingerprint) {
+            record.remove_crashes(&self.explained);
+            record.released_at = Some(now);
         }
         quarantine.map_or(0, |of| of.version)
     }
 
-    /// What is held back, or the server crashes under it, has changed.
-    pub fn note_explained(&mut self) {
-        let held = self.records.values().filter(|record| record.quarantine.is_some());
-        self.explained = held.flat_map(CrashRecord::crash_ids).collect();
+    /// Recomputes the explained crashes after a change of the quarantined fingerprints or of
+    /// their crashes.
+    pub fn refresh_explained(&mut self) {
+        let quarantined = self.records.values().filter(|record| record.quarantine.is_some());
+        self.explained = quarantined.flat_map(CrashRecord::crash_ids).collect();
     }
 
-    /// True when the crash `id` of a server, noted for `content`, is that of
-    /// another content, which is held back; it is taken back then.
+    /// Returns true if the server crash `id`, recorded for `fingerprint`, belongs to another
+    /// fingerprint, which is quarantined; the crash is then removed from the record.
     ///
-    /// Guards against sound requests that are held back in the company of fatal
-    /// ones: a stream that goes on at the next server may be there when that one
-    /// crashes too.
-    pub fn is_explained(&mut self, content: RequestFingerprint, id: CrashId, now: Instant) -> bool {
+    /// Prevents the quarantine of harmless requests together with poison ones: a stream that
+    /// resumes at the next server may be in flight there when that server crashes too.
+    pub fn exclude_if_explained(
+        &mut self,
+        fingerprint: RequestFingerprint,
+        id: CrashId,
+        now: Instant,
+    ) -> bool {
         if !self.explained.contains(&id) {
             return false;
         }
-        let record = self.records.get_mut(&content);
+        let record = self.records.get_mut(&fingerprint);
         record.is_some_and(|record| {
-            record.quarantine.is_none() && record.excuse(&self.explained, now)
+            record.quarantine.is_none() && record.exclude_crashes(&self.explained, now)
         })
     }
 
-    /// Takes the server crashes under contents held back out of the records of
-    /// the others; what was taken out.
-    pub fn excuse_others(&mut self, now: Instant) -> ExcusedCrashes<'_> {
-        self.note_explained();
-        let mut contents = FxHashSet::default();
-        for (content, record) in &mut self.records {
-            if record.quarantine.is_none() && record.excuse(&self.explained, now) {
-                contents.insert(*content);
+    /// Removes the server crashes under quarantined fingerprints from the records of all
+    /// others, and returns what was removed.
+    pub fn exclude_explained_crashes(&mut self, now: Instant) -> ExcludedCrashes<'_> {
+        self.refresh_explained();
+        let mut fingerprints = FxHashSet::default();
+        for (fingerprint, record) in &mut self.records {
+            if record.quarantine.is_none() && record.exclude_crashes(&self.explained, now) {
+                fingerprints.insert(*fingerprint);
             }
         }
-        ExcusedCrashes { contents, explained: &self.explained }
+        ExcludedCrashes { fingerprints, explained: &self.explained }
     }
 }
 
-/// Server crashes that no longer count for some contents.
+/// Server crashes that do not count for some fingerprints.
 #[derive(Debug)]
-pub(super) struct ExcusedCrashes<'a> {
-    contents: FxHashSet<RequestFingerprint>,
+pub(super) struct ExcludedCrashes<'a> {
+    fingerprints: FxHashSet<RequestFingerprint>,
     explained: &'a FxHashSet<CrashId>,
 }
 
-impl ExcusedCrashes<'_> {
-    /// True when the crash `id` no longer counts for `content`.
-    pub fn contains(&self, content: RequestFingerprint, id: CrashId) -> bool {
-        self.explained.contains(&id) && self.contents.contains(&content)
+impl ExcludedCrashes<'_> {
+    /// Returns true if the crash `id` does not count for `fingerprint`.
+    pub fn contains(&self, fingerprint: RequestFingerprint, id: CrashId) -> bool {
+        self.explained.contains(&id) && self.fingerprints.contains(&fingerprint)
     }
 }
--- a/crates/gateway/src/cluster/crash_rows.rs
+++ b/crates/gateway/src/cluster/crash_rows.rs
@@ -1,4 +1,4 @@
-//! The store's rows of contents that are held back.
+//! The store's rows of quarantined fingerprints.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,90 +12,93 @@
 use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
-/// From the writing of a row until all gateways have read it, at most.
-const ROW_TIME: Duration = Duration::from_secs(2);
-/// Rows that wait to be written or removed at most.
+/// Upper bound of the time from the writing of a row until all gateways have read it.
+const ROW_PROPAGATION_WINDOW: Duration = Duration::from_secs(2);
+/// Maximum number of rows that wait to be written or removed.
 const MAX_ROW_CHANGES: usize = 64;
 
 impl CrashDetector {
-    /// The store holds a row of a content that is held back. `is_own` says that
-    /// this gateway wrote it to claim a probe.
-    pub fn note_row(
+    /// Applies the store's row of a quarantined fingerprint. `is_local_claim` means that this
+    /// gateway wrote it to claim a probe.
+    pub fn apply_row(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         probes: u32,
         version: StoreVersion,
-        is_own: bool,
+        is_local_claim: bool,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        let before = self.records.get(content).and_then(|record| record.quarantine);
-        let is_void = self.records.get(content).is_some_and(|record| record.is_void(version));
+        let before = self.records.get(fingerprint).and_then(|record| record.quarantine);
+        let is_void = self.records.get(fingerprint).is_some_and(|record| record.is_void(version));
         if is_void || before.is_some_and(|known| known.version >= version) {
             return None;
         }
-        // Guards against a row that overtakes what cleared its content: nobody else
-        // would know that it is to be removed.
-        let is_cleared = self.log.saw_whole(content, ROW_TIME, now)
-            || self.records.get(content).is_some_and(|record| record.was_let_off(ROW_TIME, now));
+        // Prevents a row that arrives after its fingerprint was cleared from staying in the store:
+        // no other gateway would know that it has to be removed.
+        let is_cleared = self.log.has_completion(fingerprint, ROW_PROPAGATION_WINDOW, now)
+            || self
+                .records
+                .get(fingerprint)
+                .is_some_and(|record| record.was_released(ROW_PROPAGATION_WINDOW, now));
         if before.is_none() && is_cleared {
-            self.queue_removal(content, version, now);
+            self.queue_removal(fingerprint, version, now);
             return None;
         }
-        let record = self.records.entry(content);
+        let record = self.records.entry(fingerprint);
         let before_or_new = before.unwrap_or(Quarantine::new(probes, version, now));
-        record.quarantine = Some(before_or_new.renewed(probes, version, is_own, now));
-        self.excuse_others(now);
+        record.quarantine = Some(before_or_new.renewed(probes, version, is_local_claim, now));
+        self.exclude_explained_crashes(now);
         before.is_none().then_some(QuarantineChange::HeldBack)
     }
 
-    /// The store holds no row of `content` as of `version`.
-    pub fn note_no_row(
+    /// Applies that the store holds no row of `fingerprint` as of `version`.
+    pub fn apply_missing_row(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         version: StoreVersion,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        let record = self.records.get_mut(content)?;
+        let record = self.records.get_mut(fingerprint)?;
         let known = record.quarantine?.version;
         if known == 0 || known > version {
             return None;
         }
-        record.note_whole(now);
+        record.record_completion(now);
         record.quarantine = None;
-        self.records.note_explained();
+        self.records.refresh_explained();
         Some(QuarantineChange::Cleared)
     }
 
-    /// The contents whose rows are known.
+    /// Returns the fingerprints whose rows are known.
     pub fn rows(&self) -> Vec<RequestFingerprint> {
         let has_row =
             |record: &CrashRecord| record.quarantine.is_some_and(|known| known.version > 0);
-        let held = self.records.held().filter(|(_, record)| has_row(record));
-        held.map(|(content, _)| content).collect()
+        let with_rows = self.records.quarantined().filter(|(_, record)| has_row(record));
+        with_rows.map(|(fingerprint, _)| fingerprint).collect()
     }
 
-    /// Takes the changes of rows that are to be made.
+    /// Takes the pending row changes.
     pub fn take_row_changes(&mut self) -> Vec<RowChange> {
         std::mem::take(&mut self.row_changes)
     }
 
-    /// Has a row removed, and tells the others that it is void: one that starts
-    /// meanwhile reads it, and the store may be away.
+    /// Queues the removal of a row, and reports to peers that it is void: a gateway that starts
+    /// meanwhile reads it, and the store may be unavailable.
     pub(super) fn queue_removal(
         &mut self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         version: StoreVersion,
         now: Instant,
     ) {
         if version > 0 {
-            self.log.push(content, SendOutcome::Cleared(version), now);
-            self.queue(RowChange::Remove(content, version));
+            self.log.push(fingerprint, SendOutcome::Cleared(version), now);
+            self.queue_row_change(RowChange::Remove(fingerprint, version));
         }
     }
 
-    /// Leaves a change of a row to be made. One that finds no room is made good
-    /// by a probe, or by another gateway.
-    pub fn queue(&mut self, change: RowChange) {
+    /// Queues a row change. A change for which there is no capacity is made up for by a probe
+    /// or by another gateway.
+    pub fn queue_row_change(&mut self, change: RowChange) {
         if self.row_changes.len() < MAX_ROW_CHANGES {
             self.row_changes.push(change);
         }
--- a/crates/gateway/src/cluster/outcome_log.rs
+++ b/crates/gateway/src/cluster/outcome_log.rs
@@ -1,4 +1,4 @@
-//! Outcomes that this gateway has seen and still tells the others of.
+//! Outcomes that this gateway has seen and still reports to peers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,56 +9,62 @@
 use super::SendOutcome;
 use crate::model::RequestFingerprint;
 
-/// For this long each report tells of an outcome: one report at the slowest
-/// pace, and a few at a small site.
-const FRESH_TIME: Duration = Duration::from_millis(400);
-/// For this long those reports do that tell what changes slowly, one each two
-/// seconds: a datagram may be lost, and a gateway may be suspended.
-const TELL_TIME: Duration = Duration::from_secs(10);
-/// Outcomes told at most: some 25 bytes each in a report. A gateway has a few
-/// sends at a server that crashes, and the newest say most.
-const MAX_TOLD: usize = 32;
+/// Every report contains an outcome for this long: one report at the longest report
+/// interval, a few at a small site.
+const FRESH_WINDOW: Duration = Duration::from_millis(400);
+/// Reports that also contain what changes slowly, one every two seconds, contain an outcome
+/// for this long: a datagram may be lost, and a gateway may be suspended.
+const REPORT_RETENTION: Duration = Duration::from_secs(10);
+/// Maximum number of outcomes to report, some 25 bytes each in a report. A gateway has only
+/// a few attempts at a server that crashes, and the newest outcomes are the most
+/// informative.
+const MAX_OUTCOMES: usize = 32;
 
-/// Outcomes to tell, oldest first. Telling each several times makes up for
-/// lost datagrams; hearing one again changes nothing.
+/// Outcomes to report, oldest first. Each is reported several times to make up for lost
+/// datagrams; receiving one again changes nothing.
 #[derive(Debug, Default)]
 pub(super) struct OutcomeLog {
-    /// Invariant: at most [`MAX_TOLD`].
-    seen: VecDeque<(Instant, RequestFingerprint, SendOutcome)>,
+    /// Invariant: at most [`MAX_OUTCOMES`].
+    outcomes: VecDeque<(Instant, RequestFingerprint, SendOutcome)>,
 }
 
 impl OutcomeLog {
-    /// Notes an outcome.
-    pub fn push(&mut self, content: RequestFingerprint, outcome: SendOutcome, now: Instant) {
-        if self.seen.len() == MAX_TOLD {
-            self.seen.pop_front();
+    pub fn push(&mut self, fingerprint: RequestFingerprint, outcome: SendOutcome, now: Instant) {
+        if self.outcomes.len() == MAX_OUTCOMES {
+            self.outcomes.pop_front();
         }
-        self.seen.push_back((now, content, outcome));
+        self.outcomes.push_back((now, fingerprint, outcome));
     }
 
-    /// True when this gateway saw `content` answered whole within `span`.
-    pub fn saw_whole(&self, content: RequestFingerprint, span: Duration, now: Instant) -> bool {
-        self.seen.iter().any(|(at, of, outcome)| {
-            let is_whole = *of == content && *outcome == SendOutcome::Whole;
-            is_whole && now.saturating_duration_since(*at) < span
+    /// Returns true if this gateway saw a request of `fingerprint` complete within the last
+    /// `span`.
+    pub fn has_completion(
+        &self,
+        fingerprint: RequestFingerprint,
+        span: Duration,
+        now: Instant,
+    ) -> bool {
+        self.outcomes.iter().any(|(at, of, outcome)| {
+            let is_completion = *of == fingerprint && *outcome == SendOutcome::Whole;
+            is_completion && now.saturating_duration_since(*at) < span
         })
     }
 
-    /// Keeps only those server crashes that `is_kept`.
+    /// Keeps only the server crashes for which `is_kept` returns true.
     pub fn retain_crashes(&mut self, is_kept: impl Fn(RequestFingerprint, CrashId) -> bool) {
-        self.seen.retain(|(_, content, outcome)| match outcome {
-            SendOutcome::Crashed(id) => is_kept(*content, *id),
+        self.outcomes.retain(|(_, fingerprint, outcome)| match outcome {
+            SendOutcome::Crashed(id) => is_kept(*fingerprint, *id),
             SendOutcome::Lived(_) | SendOutcome::Cleared(_) | SendOutcome::Whole => true,
         });
     }
 
-    /// What a report tells: fresh outcomes, or with `tells_all` older ones too.
-    pub fn news(&mut self, tells_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
+    /// Returns the outcomes for a report: fresh ones, or with `reports_all` older ones too.
+    pub fn updates(&mut self, reports_all: bool, now: Instant) -> Vec<OutcomeUpdate> {
         let age = |at: Instant| now.saturating_duration_since(at);
-        self.seen.retain(|(at, ..)| age(*at) < TELL_TIME);
-        let told = self.seen.iter().filter(|(at, ..)| tells_all || age(*at) < FRESH_TIME);
-        told.map(|(at, content, outcome)| OutcomeUpdate {
-            content: *content,
+        self.outcomes.retain(|(at, ..)| age(*at) < REPORT_RETENTION);
+        let due = self.outcomes.iter().filter(|(at, ..)| reports_all || age(*at) < FRESH_WINDOW);
+        due.map(|(at, fingerprint, outcome)| OutcomeUpdate {
+            content: *fingerprint,
             outcome: *outcome,
             age_ms: age(*at).as_millis() as u32,
         })
--- a/crates/gateway/src/cluster/outcome_update.rs
+++ b/crates/gateway/src/cluster/outcome_update.rs
@@ -1,4 +1,4 @@
-//! What became of sends of one content, as gateways tell each other.
+//! Outcomes of attempts of one fingerprint, as gateways report them to each other.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,31 +7,31 @@
 use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
-/// One crash of one start of a server. Gateways that saw the same crash name it
-/// alike, so that it counts once.
+/// Identifies one crash of one server incarnation. Gateways that saw the same crash use the
+/// same id, so that it counts once.
 pub type CrashId = u64;
 
-/// What became of one send.
+/// The outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum SendOutcome {
-    /// The connection broke while a server was at work on it.
+    /// The connection broke while a server was processing the request.
     Crashed(CrashId),
-    /// Before its server crashed, a run of it gave events for so many milliseconds,
-    /// longer than any before.
+    /// Before its server crashed, a run sent events for this many milliseconds, longer than any
+    /// before.
     Lived(u32),
-    /// It was held back and is no longer: its row in the store, up to this
-    /// version, is about to be removed.
+    /// The quarantine has ended: the row in the store, up to this version, is about to be
+    /// removed.
     Cleared(StoreVersion),
-    /// The server answered it whole, and lived.
+    /// The server completed the response and kept running.
     Whole,
 }
 
-/// An outcome that the other gateways are told of.
+/// An outcome that is reported to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeUpdate {
     pub content: RequestFingerprint,
     pub outcome: SendOutcome,
-    /// Milliseconds since it was seen.
+    /// Milliseconds since the outcome was seen.
     pub age_ms: u32,
 }
--- a/crates/gateway/src/cluster/quarantine.rs
+++ b/crates/gateway/src/cluster/quarantine.rs
@@ -1,74 +1,74 @@
-//! Requests of one content that are held back.
+//! The quarantine of one fingerprint.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use crate::model::StoreVersion;
 
-/// How long a content is held back before one request of it may show whether
-/// servers still crash under it, by the probes made so far; the last stands for
-/// all further ones. The first comes soon: a popular request that is at each
-/// server a fatal one crashes is held back with it, and one more crash costs less
-/// than many sound requests. The others are rare: a fatal one crashes three more
-/// servers in its first hour.
-const WAITS: [Duration; 5] = [
+/// How long a fingerprint is quarantined before a probe may show whether servers still
+/// crash under it, by the number of probes made so far; the last value applies to all
+/// further ones. The first delay is short: a popular request that is in flight at each
+/// server that a poison request crashes is quarantined with it, and one more crash costs
+/// less than rejecting many harmless requests. The others are long: a poison request
+/// crashes three more servers in its first hour.
+const PROBE_DELAYS: [Duration; 5] = [
     Duration::from_millis(1500),
     Duration::from_secs(6),
     Duration::from_secs(20),
     Duration::from_secs(600),
     Duration::from_secs(7200),
 ];
-/// Probes of a content that tell it apart from others held back for the same
-/// server crashes, before it counts as fatal like any other.
-pub(super) const APART_PROBES: u32 = 5;
-/// Between two probes that tell contents apart. A stream begun shows within this
-/// whether its server lives.
-const APART_PAUSE: Duration = Duration::from_millis(600);
-/// A claim of the probe is settled within this, or has failed.
-const CLAIM_TIME: Duration = Duration::from_secs(2);
-/// The pause until a probe that told nothing is made again.
-const AGAIN_PAUSE: Duration = Duration::from_secs(1);
-/// How often a probe that told nothing is made again: its servers were full, or
-/// could not be reached.
-const MAX_AGAIN: u32 = 3;
-/// How long beyond its wait a content that nobody asks for is held back.
-const UNASKED_TIME: Duration = Duration::from_secs(600);
-
-/// How long a content is held back that has been probed `probes` times.
-fn wait(probes: u32) -> Duration {
-    let place = (probes as usize).min(WAITS.len() - 1);
-    WAITS[place]
+/// Number of probes that distinguish a fingerprint from others quarantined for the same
+/// server crashes, before it counts as poison like any other.
+pub(super) const ISOLATION_PROBES: u32 = 5;
+/// Time between two probes that distinguish fingerprints. A stream that has begun shows
+/// within this time whether its server survives.
+const ISOLATION_INTERVAL: Duration = Duration::from_millis(600);
+/// A claim of the probe is settled within this time, or has failed.
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
+/// Delay until an inconclusive probe is retried.
+const REPROBE_DELAY: Duration = Duration::from_secs(1);
+/// How often a probe is retried that found its servers full or unreachable.
+const MAX_REPROBES: u32 = 3;
+/// How long beyond its probe delay a fingerprint without requests stays quarantined.
+const IDLE_RETENTION: Duration = Duration::from_secs(600);
+
+/// Returns how long a fingerprint that has been probed `probes` times is quarantined until
+/// the next probe.
+fn probe_delay(probes: u32) -> Duration {
+    let index = (probes as usize).min(PROBE_DELAYS.len() - 1);
+    PROBE_DELAYS[index]
 }
 
-/// Whether this gateway may make a probe that it has claimed.
+/// Whether this gateway may send a probe that it has claimed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum ProbeRight {
-    /// It has claimed none, or made it.
+enum ProbePermit {
+    /// No probe is claimed, or it has been made.
     None,
-    /// It may, and has made it so often in vain.
-    Unspent(u32),
-    /// A request is out.
-    Out(u32),
+    /// A probe may be sent, after this many inconclusive ones.
+    Unused(u32),
+    /// The probe is in flight, after this many inconclusive ones.
+    InFlight(u32),
 }
 
-/// A content that is held back, until a request of it is answered whole.
+/// The quarantine of a fingerprint, which lasts until a request of it completes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Quarantine {
-    /// Requests that were let through to find out.
+    /// Number of requests admitted as probes.
     pub probes: u32,
-    /// Since when it is held back, or the last probe was claimed.
+    /// When the quarantine began, or the last probe was claimed.
     pub since: Instant,
-    /// The version of its row in the store; 0 while there is none.
+    /// The version of the row in the store; 0 while there is none.
     pub version: StoreVersion,
-    /// True once others were held back for the same server crashes. It stays so when
-    /// these are cleared, until a probe has told of this one too.
+    /// True once other fingerprints were quarantined for the same server crashes. It stays true
+    /// when those are cleared, until a probe has shown the outcome for this one too.
     pub was_shared: bool,
     claimed_until: Option<Instant>,
-    right: ProbeRight,
+    permit: ProbePermit,
 }
 
 impl Quarantine {
-    /// One that begins at `since`.
+    /// Returns a quarantine that begins at `since`.
     pub fn new(probes: u32, version: StoreVersion, since: Instant) -> Self {
         Quarantine {
             probes,
@@ -76,83 +76,90 @@
             version,
             was_shared: false,
             claimed_until: None,
-            right: ProbeRight::None,
+            permit: ProbePermit::None,
         }
     }
 
-    /// The store's row has `version` now, of which this gateway has claimed the
-    /// probe if `is_own`.
+    /// Returns this quarantine with the row's new `version`; with `is_local_claim`, this
+    /// gateway has claimed the probe in that row.
     ///
-    /// Guards against a probe that nobody makes, since the answer to its claim
-    /// was lost: it is made once the claim's own request has been refused.
-    pub fn renewed(self, probes: u32, version: StoreVersion, is_own: bool, now: Instant) -> Self {
-        let right = if is_own { ProbeRight::Unspent(0) } else { ProbeRight::None };
-        Quarantine { probes, since: now, version, right, ..self }
+    /// Prevents a probe that no gateway sends because the response to its claim was lost: it is
+    /// sent once the request that made the claim has been rejected.
+    pub fn renewed(
+        self,
+        probes: u32,
+        version: StoreVersion,
+        is_local_claim: bool,
+        now: Instant,
+    ) -> Self {
+        let permit = if is_local_claim { ProbePermit::Unused(0) } else { ProbePermit::None };
+        Quarantine { probes, since: now, version, permit, ..self }
     }
 
-    /// True when a request may go out as the probe that this gateway has claimed.
+    /// Returns true if a request may be sent as the probe that this gateway has claimed.
     pub fn may_probe(&self, now: Instant) -> bool {
         let is_claiming = self.claimed_until.is_some_and(|until| now < until);
-        matches!(self.right, ProbeRight::Unspent(_)) && !is_claiming
+        matches!(self.permit, ProbePermit::Unused(_)) && !is_claiming
     }
 
-    /// A request goes out as the probe.
+    /// Records that a request is sent as the probe.
     pub fn begin_probe(&mut self) {
-        let tries = if let ProbeRight::Unspent(tries) = self.right { tries } else { 0 };
-        self.right = ProbeRight::Out(tries);
+        let retries = if let ProbePermit::Unused(retries) = self.permit { retries } else { 0 };
+        self.permit = ProbePermit::InFlight(retries);
     }
 
-    /// The probe has crashed a server.
-    pub fn spend_probe(&mut self) {
-        self.right = ProbeRight::None;
+    /// Records that the probe has crashed a server.
+    pub fn consume_probe(&mut self) {
+        self.permit = ProbePermit::None;
     }
 
-    /// The request that was the probe is over. One that told nothing is made
-    /// again a little later.
+    /// Records that the probe request has ended. An inconclusive probe is retried a little
+    /// later.
     pub fn end_probe(&mut self, now: Instant) {
-        let ProbeRight::Out(tries) = self.right else { return };
-        self.right = ProbeRight::None;
-        if tries < MAX_AGAIN {
-            self.right = ProbeRight::Unspent(tries + 1);
-            self.claimed_until = Some(now + AGAIN_PAUSE);
+        let ProbePermit::InFlight(retries) = self.permit else { return };
+        self.permit = ProbePermit::None;
+        if retries < MAX_REPROBES {
+            self.permit = ProbePermit::Unused(retries + 1);
+            self.claimed_until = Some(now + REPROBE_DELAY);
         }
     }
 
-    /// From `now` until a probe may be claimed; zero from then on. Of several
-    /// contents that are held back for the same server crashes the one at `place` 0
-    /// is probed soon, on its own.
-    pub fn time_left(&self, place: Option<usize>, now: Instant) -> Duration {
-        let wait = match place {
-            Some(0) if self.probes < APART_PROBES => APART_PAUSE * self.probes.min(1),
-            Some(0) => wait(self.probes - APART_PROBES),
-            _ => wait(self.probes),
+    /// Returns the time from `now` until a probe may be claimed, or zero if it may be. Of
+    /// several fingerprints that are quarantined for the same server crashes, the one at `rank`
+    /// 0 is probed soon, on its own.
+    pub fn time_until_probe(&self, rank: Option<usize>, now: Instant) -> Duration {
+        let delay = match rank {
+            Some(0) if self.probes < ISOLATION_PROBES => ISOLATION_INTERVAL * self.probes.min(1),
+            Some(0) => probe_delay(self.probes - ISOLATION_PROBES),
+            _ => probe_delay(self.probes),
         };
-        let due = self.since + wait;
+        let due = self.since + delay;
         let due = self.claimed_until.map_or(due, |until| due.max(until));
         due.saturating_duration_since(now)
     }
 
-    /// True while the first probe of a content that shared its crashes with others is
-    /// due, or has just gone out.
-    pub fn awaits_probe(&self, now: Instant) -> bool {
-        let is_out = self.probes == 1 && now.saturating_duration_since(self.since) < APART_PAUSE;
-        self.was_shared && (self.probes == 0 || is_out)
+    /// Returns true while the first probe of a fingerprint that shared its crashes with others
+    /// is due or has just been sent.
+    pub fn awaits_first_probe(&self, now: Instant) -> bool {
+        let is_in_flight =
+            self.probes == 1 && now.saturating_duration_since(self.since) < ISOLATION_INTERVAL;
+        self.was_shared && (self.probes == 0 || is_in_flight)
     }
 
-    /// A probe is being claimed: other requests wait for how that ends.
+    /// Records that a probe is being claimed; other requests wait for the result.
     pub fn begin_claim(&mut self, now: Instant) {
-        self.claimed_until = Some(now + CLAIM_TIME);
+        self.claimed_until = Some(now + CLAIM_TIMEOUT);
     }
 
-    /// The claim failed: it may be made again after a pause.
-    pub fn end_claim(&mut self, now: Instant) {
-        self.claimed_until = Some(now + APART_PAUSE);
+    /// Records that the claim failed; it may be retried after a delay.
+    pub fn fail_claim(&mut self, now: Instant) {
+        self.claimed_until = Some(now + ISOLATION_INTERVAL);
     }
 
-    /// True when nobody has asked for the content for long: a request after
-    /// the wait would have claimed a probe.
-    pub fn is_unasked(&self, now: Instant) -> bool {
-        let quiet = now.saturating_duration_since(self.since);
-        quiet >= wait(self.probes).saturating_mul(2) + UNASKED_TIME
+    /// Returns true if no request of the fingerprint has arrived for long: a request after the
+    /// probe delay would have claimed a probe.
+    pub fn is_idle(&self, now: Instant) -> bool {
+        let idle = now.saturating_duration_since(self.since);
+        idle >= probe_delay(self.probes).saturating_mul(2) + IDLE_RETENTION
     }
 }
--- a/crates/gateway/src/cluster/quarantine_verdict.rs
+++ b/crates/gateway/src/cluster/quarantine_verdict.rs
@@ -1,4 +1,4 @@
-//! What is decided on requests of a content.
+//! Quarantine decisions on requests.
 
 use std::time::Duration;
 
@@ -6,45 +6,45 @@
 
 use crate::model::StoreVersion;
 
-/// A content that is held back.
+/// The status of a quarantined fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineStatus {
-    /// Server crashes that are remembered of it.
+    /// Number of server crashes on record.
     pub crashes: usize,
-    /// Requests of it that were let through to find out more.
+    /// Number of requests admitted as probes.
     pub probes: u32,
-    /// The version of its row in the store; 0 while there is none.
+    /// The version of the row in the store; 0 while there is none.
     pub version: StoreVersion,
-    /// For how long it has been held back, or since the last probe.
+    /// Time since the quarantine began, or since the last probe.
     pub age: Duration,
-    /// From now until the next probe; zero when it is due.
-    pub left: Duration,
-    /// True while others are held back for the same server crashes and probes are
-    /// about to tell which of them is fatal, and while this gateway has just begun
-    /// and knows a row alone.
-    pub is_undecided: bool,
+    /// Time until the next probe; zero when it is due.
+    pub until_probe: Duration,
+    /// True while others are quarantined for the same server crashes and probes are about to
+    /// show which of them is the poison request, and while this gateway has just started and
+    /// knows only a row.
+    pub is_provisional: bool,
 }
 
-/// May a request of a content be sent?
+/// Whether a request may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineVerdict {
     Admitted,
-    HeldBack(QuarantineStatus),
-    /// One request may find out whether servers still crash under it, once its
-    /// gateway has claimed that in the store.
+    Quarantined(QuarantineStatus),
+    /// One request may show whether servers still crash under it, once its gateway has claimed
+    /// the probe in the store.
     ProbeDue(QuarantineStatus),
-    /// The same, and this gateway has claimed it already.
+    /// Like `ProbeDue`, and this gateway has already claimed the probe.
     Probe(QuarantineStatus),
 }
 
-/// What has changed for a content.
+/// A change of the quarantine of a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum QuarantineChange {
-    /// It is held back from now on.
+    /// The quarantine has begun.
     HeldBack,
-    /// It was held back, and is no longer.
+    /// The quarantine has ended.
     Cleared,
-    /// It was held back, and nobody has asked for it for long.
+    /// The quarantine has expired, as no request has arrived for long.
     Forgotten,
 }
--- a/crates/gateway/src/cluster/recent_completions.rs
+++ b/crates/gateway/src/cluster/recent_completions.rs
@@ -1,4 +1,4 @@
-//! Which contents were lately answered whole.
+//! Fingerprints of recently completed requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,47 +7,47 @@
 
 use crate::model::RequestFingerprint;
 
-/// How long a content is remembered, at least.
-const REMEMBERED: Duration = Duration::from_secs(30);
-/// Contents remembered in each half: 32 KB of digests. Beyond that new ones are
-/// not remembered until the next half begins; those that are asked for often
-/// are remembered early.
-const MAX_IN_HALF: usize = 4096;
+/// Minimum time for which a fingerprint is kept.
+const MIN_RETENTION: Duration = Duration::from_secs(30);
+/// Maximum number of fingerprints in each generation: 32 KB of digests. Beyond it, new ones
+/// are dropped until the next generation begins; frequent ones are recorded early in each
+/// generation.
+const MAX_PER_GENERATION: usize = 4096;
 
-/// Contents answered whole within the last 30 to 60 seconds.
+/// Fingerprints of requests completed within the last 30 to 60 seconds.
 #[derive(Debug, Default)]
 pub(super) struct RecentCompletions {
     current: FxHashSet<RequestFingerprint>,
     previous: FxHashSet<RequestFingerprint>,
-    /// When `current` was begun.
-    begun_at: Option<Instant>,
+    /// When the generation `current` began.
+    started_at: Option<Instant>,
 }
 
 impl RecentCompletions {
-    /// Notes an answer.
-    pub fn note(&mut self, content: RequestFingerprint, now: Instant) {
-        self.turn(now);
-        if self.current.len() < MAX_IN_HALF {
-            self.current.insert(content);
+    /// Records a completed request.
+    pub fn record(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        self.rotate(now);
+        if self.current.len() < MAX_PER_GENERATION {
+            self.current.insert(fingerprint);
         }
     }
 
-    /// True when `content` was answered whole lately.
-    pub fn contains(&mut self, content: RequestFingerprint, now: Instant) -> bool {
-        self.turn(now);
-        self.current.contains(&content) || self.previous.contains(&content)
+    /// Returns true if a request of `fingerprint` completed recently.
+    pub fn contains(&mut self, fingerprint: RequestFingerprint, now: Instant) -> bool {
+        self.rotate(now);
+        self.current.contains(&fingerprint) || self.previous.contains(&fingerprint)
     }
 
-    fn turn(&mut self, now: Instant) {
-        let begun_at = *self.begun_at.get_or_insert(now);
-        let age = now.saturating_duration_since(begun_at);
-        if age < REMEMBERED {
+    fn rotate(&mut self, now: Instant) {
+        let started_at = *self.started_at.get_or_insert(now);
+        let age = now.saturating_duration_since(started_at);
+        if age < MIN_RETENTION {
             return;
         }
         self.previous = std::mem::take(&mut self.current);
-        if age >= REMEMBERED * 2 {
+        if age >= MIN_RETENTION * 2 {
             self.previous.clear();
         }
-        self.begun_at = Some(now);
+        self.started_at = Some(now);
     }
 }
--- a/crates/gateway/src/cluster/row_change.rs
+++ b/crates/gateway/src/cluster/row_change.rs
@@ -3,12 +3,12 @@
 use crate::model::RequestFingerprint;
 use crate::model::StoreVersion;
 
-/// What is to be done with a content's row in the store.
+/// A change to make to the row of a fingerprint in the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RowChange {
-    /// It is held back: gateways that hear nobody and those that start are to
-    /// know.
+    /// The fingerprint is quarantined, which gateways that receive no reports and those that
+    /// start later have to know.
     Write(RequestFingerprint),
-    /// It is held back no more.
+    /// The fingerprint is not quarantined any more.
     Remove(RequestFingerprint, StoreVersion),
 }
--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -17,7 +17,7 @@
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::quarantine::claim_probe;
-use crate::quarantine::content_key;
+use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
@@ -37,7 +37,7 @@
     loop {
         let (held, outcome) = match state.quarantines.admit(call.content) {
             QuarantineVerdict::Admitted => return Ok(Attempts::default()),
-            QuarantineVerdict::HeldBack(held) => (held, "refused".to_owned()),
+            QuarantineVerdict::Quarantined(held) => (held, "refused".to_owned()),
             QuarantineVerdict::Probe(held) => return Ok(probe(state, call, held)),
             QuarantineVerdict::ProbeDue(held) => {
                 match claim_probe::<C>(state, call.content, held).await {
@@ -62,7 +62,7 @@
     held: QuarantineStatus,
 ) -> bool {
     let has_time = call.time_left(Instant::now()) > ANSWER_TIME;
-    if !held.is_undecided || !has_time {
+    if !held.is_provisional || !has_time {
         return false;
     }
     by_deadline(Instant::now() + LOOK_AGAIN, state.room.listen()).await;
@@ -77,7 +77,7 @@
 
 /// When a caller of what is held back may come back.
 pub(super) fn retry_after(held: QuarantineStatus) -> Duration {
-    held.left.max(MIN_RETRY)
+    held.until_probe.max(MIN_RETRY)
 }
 
 /// Logs what decided that `call` is held back after `sends` sends, or let
@@ -87,13 +87,13 @@
     tracing::info!(
         event = events::CALL_HELD_BACK,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = fingerprint_key(call.content),
         service = %call.service,
         crashes = held.crashes,
         probes = held.probes,
         row_version = held.version,
         held_ms = held.age.as_millis() as u64,
-        left_ms = held.left.as_millis() as u64,
+        left_ms = held.until_probe.as_millis() as u64,
         sends,
         outcome,
         "servers crash under such requests"
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -56,7 +56,7 @@
         if self.probe.is_some() && self.sends == 0 {
             return None;
         }
-        state.quarantines.held(call.content)
+        state.quarantines.status(call.content)
     }
 
     /// Waits while `call` is held back only until probes have told its content
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -107,8 +107,8 @@
     loop {
         let woken = state.room.listen();
         let held = attempts.held_back(state, call);
-        let is_undecided = held.is_some_and(|held| held.is_undecided);
-        if let Some(held) = held.filter(|_| !is_undecided) {
+        let is_provisional = held.is_some_and(|held| held.is_provisional);
+        if let Some(held) = held.filter(|_| !is_provisional) {
             log_held(call, held, 0, "left the line");
             return Err(reject_call(call, Rejection::Quarantined, Some(retry_after(held)), 0));
         }
@@ -120,7 +120,7 @@
             state.work_changed.notify(1);
             is_told = true;
         }
-        if tries_at.is_some_and(|at| now >= at) && !is_undecided {
+        if tries_at.is_some_and(|at| now >= at) && !is_provisional {
             match try_place(state, call, spec, shape) {
                 Ok(placed) => {
                     place.is_placed = true;
@@ -150,7 +150,7 @@
         let look_at = match tries_at {
             Some(at) if now < at => at,
             Some(_) => now + LOOK_AGAIN,
-            None if is_undecided => now + LOOK_AGAIN,
+            None if is_provisional => now + LOOK_AGAIN,
             None => give_up,
         };
         by_deadline(look_at.min(give_up), woken).await;
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -19,7 +19,7 @@
 use crate::model::OnwardOrder;
 use crate::model::ReplyHead;
 use crate::model::SendPurpose;
-use crate::quarantine::content_key;
+use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 use crate::upstream;
 use crate::upstream::KeptConnection;
@@ -188,7 +188,7 @@
     tracing::info!(
         event = events::SEND_FAILED,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = fingerprint_key(call.content),
         server = %target.server,
         peer = %target.address,
         failure = %failure,
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -17,7 +17,7 @@
 use super::attempts::Attempts;
 use crate::events;
 use crate::model::ServerStage;
-use crate::quarantine::content_key;
+use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 
 /// Retry delay when this gateway has no share of any server's rate limit; another gateway
@@ -124,7 +124,7 @@
 ) -> Response<GatewayBody> {
     let now = Instant::now();
     let is_late = now >= call.deadline;
-    let held = state.quarantines.held(call.content);
+    let held = state.quarantines.status(call.content);
     let next_send_after = next_send_after(state, call, now);
     let (refusal, retry_after) = match (may_have_run, is_late, held) {
         (true, true, _) => (Rejection::Expired, None),
@@ -170,7 +170,7 @@
     tracing::info!(
         event = events::CALL_REFUSED,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = fingerprint_key(call.content),
         route = %call.route.name,
         service = %call.service,
         config = call.config,
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -97,7 +97,7 @@
     let limits = state.fleet().limits.news(true, now);
     let departures = state.fleet().departures.news(true, now);
     let charges = state.quotas.recent_news();
-    let outcomes = state.quarantines.news(true);
+    let outcomes = state.quarantines.updates(true);
     LoadReport {
         reach: PeerReach::Far,
         peer: report.peer.clone(),
@@ -150,7 +150,7 @@
         tables: state.readings.notices(now),
         charges: state.quotas.news(tells_learned),
         age_ms: state.age().as_millis() as u64,
-        outcomes: state.quarantines.news(tells_learned),
+        outcomes: state.quarantines.updates(tells_learned),
         limits,
         departures,
         backoffs,
@@ -255,7 +255,7 @@
         state.hear_departure(server);
     }
     for news in report.outcomes {
-        state.quarantines.hear(news);
+        state.quarantines.apply_peer_outcome(news);
     }
     state.room.notify(usize::MAX);
 }
--- a/crates/gateway/src/quarantine/mod.rs
+++ b/crates/gateway/src/quarantine/mod.rs
@@ -1,16 +1,16 @@
-//! Requests that crash the servers that run them (poison requests): what this
-//! gateway knows of them, and their rows in the store.
+//! Poison requests, which crash the servers that run them: what this gateway knows of them,
+//! and their rows in the store.
 //!
-//! The decisions are [`CrashDetector`](crate::cluster::CrashDetector)'s.
+//! The decisions are made by [`CrashDetector`](crate::cluster::CrashDetector).
 
 mod probe_claim;
 mod quarantine_row;
 mod quarantines;
-mod row_keeper;
+mod row_writer;
 
 pub use self::probe_claim::claim_probe;
 pub use self::quarantine_row::QuarantineRow;
-pub use self::quarantine_row::content_key;
-pub use self::quarantine_row::key_content;
+pub use self::quarantine_row::fingerprint_from_key;
+pub use self::quarantine_row::fingerprint_key;
 pub use self::quarantines::Quarantines;
-pub use self::row_keeper::keep_rows;
+pub use self::row_writer::run_row_writer;
--- a/crates/gateway/src/quarantine/quarantines.rs
+++ b/crates/gateway/src/quarantine/quarantines.rs
@@ -1,4 +1,4 @@
-//! What this process knows of contents under which servers crash.
+//! The state of this process on fingerprints under which servers crash.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -10,7 +10,7 @@
 use event_listener::Event;
 
 use super::QuarantineRow;
-use super::content_key;
+use super::fingerprint_key;
 use crate::cluster::CrashDetector;
 use crate::cluster::OutcomeUpdate;
 use crate::cluster::QuarantineChange;
@@ -22,204 +22,212 @@
 use crate::model::StoreVersion;
 use crate::upstream::SendTarget;
 
-/// The contents held back, with log lines of what changes.
+/// The quarantined fingerprints; logs each change.
 #[derive(Debug)]
 pub struct Quarantines {
-    watch: Mutex<CrashDetector>,
+    detector: Mutex<CrashDetector>,
     /// Notified when rows of the store are to be written or removed.
     pub rows_due: Event,
-    /// True once the store's rows have been read.
+    /// True once the rows of the store have been read.
     is_read: AtomicBool,
-    /// Names this process in the rows that it writes to claim a probe; drawn, as
-    /// a process that starts again has claimed nothing.
+    /// Identifies this process in the rows that it writes to claim a probe. The value is
+    /// random, as a restarted process has claimed nothing.
     pub claimant: u64,
 }
 
 impl Quarantines {
-    /// Those of a process that has begun to hear the others at `begun`.
-    pub fn new(begun: Instant) -> Self {
+    /// Returns the state of a process that began to receive reports from peers at `started_at`.
+    pub fn new(started_at: Instant) -> Self {
         Quarantines {
-            watch: Mutex::new(CrashDetector::new(begun)),
+            detector: Mutex::new(CrashDetector::new(started_at)),
             rows_due: Event::new(),
             is_read: AtomicBool::new(false),
             claimant: fastrand::u64(1..),
         }
     }
 
-    /// A send of request `request_id` broke at `target`, which had given events
-    /// for `lived`; true when that changes what is held back.
-    pub fn note_crash(
+    /// Records that an attempt of request `request_id` broke at `target` after it had sent
+    /// events for `run_duration`. Returns true if that changes which requests are quarantined.
+    pub fn record_crash(
         &self,
         request_id: &str,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         target: &SendTarget,
-        lived: Duration,
+        run_duration: Duration,
     ) -> bool {
         let now = Instant::now();
-        let mut watch = self.watch();
-        let change = watch.note_crash(content, target.incarnation, lived, now);
-        let crashes = watch.crashes(content);
-        drop(watch);
+        let mut detector = self.detector();
+        let change = detector.record_crash(fingerprint, target.incarnation, run_duration, now);
+        let crashes = detector.crashes(fingerprint);
+        drop(detector);
         metrics::counter!("umberglade_crashed_sends_total").increment(1);
         tracing::info!(
             event = events::CRASH_SUSPECTED,
             request_id,
-            content = content_key(content),
+            content = fingerprint_key(fingerprint),
             server = %target.server,
             incarnation = target.incarnation,
             crashes,
-            lived_ms = lived.as_millis() as u64,
+            lived_ms = run_duration.as_millis() as u64,
             is_held_back = change.is_some(),
             "a server may have crashed under this request"
         );
-        self.log_change(content, change, "own")
+        self.log_change(fingerprint, change, "own")
     }
 
-    /// A request of `content` was answered whole by `target`; true when that
-    /// changes what is held back.
-    pub fn note_whole(&self, content: RequestFingerprint, target: &SendTarget) -> bool {
-        let change = self.watch().note_whole(content, target.incarnation, Instant::now());
-        self.log_change(content, change, "own")
+    /// Records that a request of `fingerprint` completed at `target`. Returns true if that
+    /// changes which requests are quarantined.
+    pub fn record_completion(&self, fingerprint: RequestFingerprint, target: &SendTarget) -> bool {
+        let change =
+            self.detector().record_completion(fingerprint, target.incarnation, Instant::now());
+        self.log_change(fingerprint, change, "own")
     }
 
-    /// Takes in what another gateway tells; true when that changes what is held
-    /// back.
-    pub fn hear(&self, news: OutcomeUpdate) -> bool {
-        let change = self.watch().hear(news, Instant::now());
-        self.log_change(news.content, change, "gateway")
+    /// Applies an outcome reported by a peer. Returns true if that changes which requests are
+    /// quarantined.
+    pub fn apply_peer_outcome(&self, update: OutcomeUpdate) -> bool {
+        let change = self.detector().apply_peer_outcome(update, Instant::now());
+        self.log_change(update.content, change, "gateway")
     }
 
-    /// Takes in a content's row; true when that changes what is held back.
-    pub fn note_row(
+    /// Applies the row of a fingerprint. Returns true if that changes which requests are
+    /// quarantined.
+    pub fn apply_row(
         &self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         row: QuarantineRow,
         version: StoreVersion,
     ) -> bool {
-        let is_own = row.claimed_by == self.claimant;
-        let change = self.watch().note_row(content, row.probes, version, is_own, Instant::now());
-        self.log_change(content, change, "store")
+        let is_local_claim = row.claimed_by == self.claimant;
+        let change = self.detector().apply_row(
+            fingerprint,
+            row.probes,
+            version,
+            is_local_claim,
+            Instant::now(),
+        );
+        self.log_change(fingerprint, change, "store")
     }
 
-    /// The store holds no row of `content` as of `version`.
-    pub fn note_no_row(&self, content: RequestFingerprint, version: StoreVersion) {
-        let change = self.watch().note_no_row(content, version, Instant::now());
-        self.log_change(content, change, "store");
+    /// Applies that the store holds no row of `fingerprint` as of `version`.
+    pub fn apply_missing_row(&self, fingerprint: RequestFingerprint, version: StoreVersion) {
+        let change = self.detector().apply_missing_row(fingerprint, version, Instant::now());
+        self.log_change(fingerprint, change, "store");
     }
 
-    /// The contents whose rows are known.
+    /// Returns the fingerprints whose rows are known.
     pub fn rows(&self) -> Vec<RequestFingerprint> {
-        self.watch().rows()
+        self.detector().rows()
     }
 
-    /// The store's rows have been read.
+    /// Records that the rows of the store have been read.
     pub fn mark_read(&self) {
         self.is_read.store(true, Ordering::Release);
     }
 
-    /// True once the store's rows have been read.
+    /// Returns true once the rows of the store have been read.
     pub fn is_read(&self) -> bool {
         self.is_read.load(Ordering::Acquire)
     }
 
-    /// Decides on a request that has just come, also by what was heard while
-    /// this process was too young to judge it.
-    pub fn admit(&self, content: RequestFingerprint) -> QuarantineVerdict {
+    /// Decides on a new request, also by reports received while this process was still warming
+    /// up.
+    pub fn admit(&self, fingerprint: RequestFingerprint) -> QuarantineVerdict {
         let now = Instant::now();
-        let change = self.watch().judge(content, now);
-        self.log_change(content, change, "gateway");
-        self.watch().admit(content, now)
+        let change = self.detector().quarantine_if_suspect(fingerprint, now);
+        self.log_change(fingerprint, change, "gateway");
+        self.detector().admit(fingerprint, now)
     }
 
-    /// The probe of `content` that this gateway has claimed goes out.
-    pub fn begin_probe(&self, content: RequestFingerprint) {
-        self.watch().begin_probe(content);
+    /// Records that the probe of `fingerprint` that this gateway has claimed is sent.
+    pub fn begin_probe(&self, fingerprint: RequestFingerprint) {
+        self.detector().begin_probe(fingerprint);
     }
 
-    /// The request that was the probe is over.
-    pub fn end_probe(&self, content: RequestFingerprint) {
-        self.watch().end_probe(content, Instant::now());
+    /// Records that the probe request has ended.
+    pub fn end_probe(&self, fingerprint: RequestFingerprint) {
+        self.detector().end_probe(fingerprint, Instant::now());
     }
 
-    /// The claim of the probe of `content` failed.
-    pub fn end_claim(&self, content: RequestFingerprint) {
-        self.watch().end_claim(content, Instant::now());
+    /// Records that the claim of the probe of `fingerprint` failed.
+    pub fn fail_claim(&self, fingerprint: RequestFingerprint) {
+        self.detector().fail_claim(fingerprint, Instant::now());
     }
 
-    /// This gateway makes the probe that is due without a claim.
-    pub fn note_unclaimed_probe(&self, content: RequestFingerprint) {
-        self.watch().note_unclaimed_probe(content, Instant::now());
+    /// Starts the due probe without a claim.
+    pub fn begin_unclaimed_probe(&self, fingerprint: RequestFingerprint) {
+        self.detector().begin_unclaimed_probe(fingerprint, Instant::now());
     }
 
-    /// How `content` is held back; `None` when it is not.
-    pub fn held(&self, content: RequestFingerprint) -> Option<QuarantineStatus> {
-        self.watch().held(content, Instant::now())
+    /// Returns the quarantine status of `fingerprint`, or `None` if it is not quarantined.
+    pub fn status(&self, fingerprint: RequestFingerprint) -> Option<QuarantineStatus> {
+        self.detector().status(fingerprint, Instant::now())
     }
 
-    /// What a report tells the other gateways.
-    pub fn news(&self, tells_all: bool) -> Vec<OutcomeUpdate> {
-        self.watch().news(tells_all, Instant::now())
+    /// Returns the outcomes for a report to peers.
+    pub fn updates(&self, reports_all: bool) -> Vec<OutcomeUpdate> {
+        self.detector().updates(reports_all, Instant::now())
     }
 
-    /// Takes the changes of rows that are to be made.
+    /// Takes the pending row changes.
     pub fn take_row_changes(&self) -> Vec<RowChange> {
-        self.watch().take_row_changes()
+        self.detector().take_row_changes()
     }
 
-    /// A change of a row has not been made yet.
-    pub fn put_back(&self, change: RowChange) {
-        self.watch().queue(change);
+    /// Puts a row change that has not been made back into the queue.
+    pub fn requeue_row_change(&self, change: RowChange) {
+        self.detector().queue_row_change(change);
     }
 
-    /// Forgets what is past; `removes_rows` where this gateway is to remove the
-    /// rows of what nobody asks for.
+    /// Removes expired state; with `removes_rows`, this gateway removes the rows of
+    /// fingerprints without requests.
     pub fn tick(&self, removes_rows: bool) {
-        let mut watch = self.watch();
-        let forgotten = watch.tick(removes_rows, Instant::now());
-        metrics::gauge!("umberglade_contents_held").set(watch.held_count() as f64);
-        metrics::gauge!("umberglade_contents_watched").set(watch.len() as f64);
-        drop(watch);
-        for content in forgotten {
-            self.log_change(content, Some(QuarantineChange::Forgotten), "time");
+        let mut detector = self.detector();
+        let forgotten = detector.tick(removes_rows, Instant::now());
+        metrics::gauge!("umberglade_contents_held").set(detector.quarantined_count() as f64);
+        metrics::gauge!("umberglade_contents_watched").set(detector.len() as f64);
+        drop(detector);
+        for fingerprint in forgotten {
+            self.log_change(fingerprint, Some(QuarantineChange::Forgotten), "time");
         }
     }
 
-    fn watch(&self) -> MutexGuard<'_, CrashDetector> {
-        self.watch.lock().expect("watch lock")
+    fn detector(&self) -> MutexGuard<'_, CrashDetector> {
+        self.detector.lock().expect("detector lock")
     }
 
-    /// Logs a change, from whom it is known; true if there is one.
+    /// Logs a change and how it became known; returns true if there is one.
     fn log_change(
         &self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         change: Option<QuarantineChange>,
         known_by: &'static str,
     ) -> bool {
-        let let_off = self.watch().take_let_off();
-        for content in &let_off {
-            self.write_change(*content, QuarantineChange::Cleared, "others' crashes");
+        let released = self.detector().take_released();
+        for fingerprint in &released {
+            self.emit_change(*fingerprint, QuarantineChange::Cleared, "others' crashes");
         }
-        let Some(change) = change else { return !let_off.is_empty() };
-        self.write_change(content, change, known_by);
+        let Some(change) = change else { return !released.is_empty() };
+        self.emit_change(fingerprint, change, known_by);
         true
     }
 
-    fn write_change(
+    fn emit_change(
         &self,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         change: QuarantineChange,
         known_by: &'static str,
     ) {
-        let held = self.held(content);
+        let status = self.status(fingerprint);
         tracing::warn!(
             event = events::CONTENT_CHANGED,
-            content = content_key(content),
+            content = fingerprint_key(fingerprint),
             outcome = %change,
             known_by,
-            crashes = held.map_or(0, |held| held.crashes),
-            probes = held.map_or(0, |held| held.probes),
-            row_version = held.map_or(0, |held| held.version),
-            "requests held back changed"
+            crashes = status.map_or(0, |status| status.crashes),
+            probes = status.map_or(0, |status| status.probes),
+            row_version = status.map_or(0, |status| status.version),
+            "quarantine changed"
         );
         self.rows_due.notify(usize::MAX);
     }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -99,7 +99,7 @@
     }
     pool::spawn(peers::take_copies(Arc::clone(&state)));
     pool::spawn(run_stage_controller::<C>(Arc::clone(&state)));
-    pool::spawn(quarantine::keep_rows::<C>(Arc::clone(&state)));
+    pool::spawn(quarantine::run_row_writer::<C>(Arc::clone(&state)));
     pool::spawn(tick(Arc::clone(&state)));
     pool::spawn(ingress::serve_front::<C>(front, Arc::clone(&state)));
     for listener in [Some(ready), metrics_listener].into_iter().flatten() {
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -267,7 +267,7 @@
 
     /// A request of `content` was answered whole by `target`.
     pub fn note_whole(&self, content: RequestFingerprint, target: &SendTarget) {
-        if self.quarantines.note_whole(content, target) {
+        if self.quarantines.record_completion(content, target) {
             self.room.notify(usize::MAX);
             // The others hold it back until they are told.
             self.work_changed.notify(1);
@@ -283,7 +283,7 @@
         target: &SendTarget,
         lived: Duration,
     ) {
-        if self.quarantines.note_crash(request_id, content, target, lived) {
+        if self.quarantines.record_crash(request_id, content, target, lived) {
             self.room.notify(usize::MAX);
         }
         self.work_changed.notify(1);
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -14,7 +14,7 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 use crate::quarantine::QuarantineRow;
-use crate::quarantine::key_content;
+use crate::quarantine::fingerprint_from_key;
 use crate::state::GatewayState;
 
 /// Keeps what is held back up to date with the store.
@@ -31,16 +31,16 @@
 
     /// A row that can't be read holds nothing back, and clears nothing.
     fn take(&self, row: &StoreRow) {
-        let Some(content) = key_content(&row.key) else {
+        let Some(content) = fingerprint_from_key(&row.key) else {
             log_unreadable(StoreTable::Quarantines, row, "the key names no content");
             return;
         };
         match &row.value {
-            RowValue::Removed => self.state.quarantines.note_no_row(content, row.version),
+            RowValue::Removed => self.state.quarantines.apply_missing_row(content, row.version),
             RowValue::Unreadable(problem) => log_unreadable(StoreTable::Quarantines, row, problem),
             RowValue::Held(value) => match postcard::from_bytes::<QuarantineRow>(value) {
                 Ok(held) => {
-                    if self.state.quarantines.note_row(content, held, row.version) {
+                    if self.state.quarantines.apply_row(content, held, row.version) {
                         self.state.room.notify(usize::MAX);
                     }
                 }
@@ -53,10 +53,10 @@
 impl TableSink for QuarantineSink {
     fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
         let listed: FxHashSet<RequestFingerprint> =
-            rows.iter().filter_map(|row| key_content(&row.key)).collect();
+            rows.iter().filter_map(|row| fingerprint_from_key(&row.key)).collect();
         for content in self.state.quarantines.rows() {
             if !listed.contains(&content) {
-                self.state.quarantines.note_no_row(content, version);
+                self.state.quarantines.apply_missing_row(content, version);
             }
         }
         self.changed(rows);
--- a/crates/gateway/tests/crash_detector.rs
+++ b/crates/gateway/tests/crash_detector.rs
@@ -1,4 +1,4 @@
-//! Which contents are held back, for how long, and what is told of them.
+//! Tests which fingerprints are quarantined, for how long, and what is reported of them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -9,509 +9,555 @@
 use umberglade_gateway::cluster::RowChange;
 use umberglade_gateway::cluster::SendOutcome;
 
-const CONTENT: u64 = 7;
+const REQUEST: u64 = 7;
 const OTHER: u64 = 8;
-/// A server that lives.
-const ELSEWHERE: u64 = 99;
-/// The first wait for a probe.
-const FIRST_WAIT: Duration = Duration::from_millis(1500);
+/// A server that keeps running.
+const HEALTHY_SERVER: u64 = 99;
+/// The delay of the first probe.
+const FIRST_PROBE_DELAY: Duration = Duration::from_millis(1500);
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-/// Something that becomes known of [`CONTENT`].
+/// An observation about [`REQUEST`].
 #[derive(Clone, Copy)]
 enum Step {
-    /// A send broke at a start of a server.
-    Ends(u64),
-    /// That start has answered something else.
-    Works(u64),
-    /// Another gateway tells of that, so many milliseconds later.
-    HeardEnd(u64, u32),
-    Whole,
-    HeardWhole(u32),
-    /// The store has a row of it, of a version.
+    /// An attempt broke at a server incarnation.
+    Crash(u64),
+    /// That incarnation has completed another request.
+    OtherCompletion(u64),
+    /// A peer reports a crash with this id, so many milliseconds later.
+    PeerCrash(u64, u32),
+    Completion,
+    PeerCompletion(u32),
+    /// The store has a row of this version.
     Row(u64),
-    /// The row was removed.
-    NoRow(u64),
+    /// The row was removed as of this version.
+    MissingRow(u64),
 }
 
 impl Step {
-    fn take(self, watch: &mut CrashDetector, now: Instant) {
-        let hear = |watch: &mut CrashDetector, outcome, age_ms| {
-            watch.hear(OutcomeUpdate { content: CONTENT, outcome, age_ms }, now);
+    fn take(self, detector: &mut CrashDetector, now: Instant) {
+        let apply_peer_outcome = |detector: &mut CrashDetector, outcome, age_ms| {
+            detector.apply_peer_outcome(OutcomeUpdate { content: REQUEST, outcome, age_ms }, now);
         };
         match self {
-            Step::Ends(server) => drop(watch.note_crash(CONTENT, server, Duration::ZERO, now)),
-            Step::HeardEnd(id, age) => hear(watch, SendOutcome::Crashed(id), age),
-            Step::Works(server) => drop(watch.note_whole(OTHER, server, now)),
-            Step::Whole => drop(watch.note_whole(CONTENT, ELSEWHERE, now)),
-            Step::HeardWhole(age) => hear(watch, SendOutcome::Whole, age),
-            Step::Row(version) => drop(watch.note_row(CONTENT, 0, version, false, now)),
-            Step::NoRow(version) => drop(watch.note_no_row(CONTENT, version, now)),
+            Step::Crash(id) => drop(detector.record_crash(REQUEST, id, Duration::ZERO, now)),
+            Step::PeerCrash(id, age) => apply_peer_outcome(detector, SendOutcome::Crashed(id), age),
+            Step::OtherCompletion(server) => drop(detector.record_completion(OTHER, server, now)),
+            Step::Completion => drop(detector.record_completion(REQUEST, HEALTHY_SERVER, now)),
+            Step::PeerCompletion(age) => apply_peer_outcome(detector, SendOutcome::Whole, age),
+            Step::Row(version) => drop(detector.apply_row(REQUEST, 0, version, false, now)),
+            Step::MissingRow(version) => drop(detector.apply_missing_row(REQUEST, version, now)),
         }
     }
 }
 
-struct HoldCase {
+struct QuarantineCase {
     name: &'static str,
-    /// When, in milliseconds, and what.
+    /// Milliseconds after the start of the case, and the observation.
     steps: &'static [(u64, Step)],
-    is_held: bool,
+    is_quarantined: bool,
 }
 
-/// A request under which three servers have ended is held back, whoever saw
-/// that. A popular one is there whenever a server ends for its own reasons:
-/// whole answers before and between speak for it.
+/// A request under which three servers crash is quarantined, whichever gateways saw the
+/// crashes. A popular request is in flight whenever a server crashes for other reasons;
+/// completions before and between the crashes clear it.
 #[test]
-fn what_is_held_back() {
+fn three_unexplained_crashes_quarantine_a_request() {
     use Step::*;
     let cases = [
-        HoldCase {
-            name: "three servers end",
-            steps: &[(0, Ends(1)), (900, Ends(2)), (1000, Ends(3))],
-            is_held: true,
+        QuarantineCase {
+            name: "three servers crash",
+            steps: &[(0, Crash(1)), (900, Crash(2)), (1000, Crash(3))],
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "two servers end",
-            steps: &[(0, Ends(1)), (900, Ends(2))],
-            is_held: false,
+        QuarantineCase {
+            name: "two servers crash",
+            steps: &[(0, Crash(1)), (900, Crash(2))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "many sends break at one end",
-            steps: &[(0, Ends(1)), (5, Ends(1)), (9, Ends(1)), (900, HeardEnd(1, 895))],
-            is_held: false,
+        QuarantineCase {
+            name: "many sends break at one crash",
+            steps: &[(0, Crash(1)), (5, Crash(1)), (9, Crash(1)), (900, PeerCrash(1, 895))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "one server ends again and again, its new starts not registered yet",
+        QuarantineCase {
+            name: "one server crashes repeatedly, its new starts not registered yet",
             steps: &[
-                (0, Ends(1)),
-                (1400, Works(1)),
-                (1500, Ends(1)),
-                (2900, Works(1)),
-                (3000, Ends(1)),
+                (0, Crash(1)),
+                (1400, OtherCompletion(1)),
+                (1500, Crash(1)),
+                (2900, OtherCompletion(1)),
+                (3000, Crash(1)),
             ],
-            is_held: true,
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "a service that can't be reached for a while",
+        QuarantineCase {
+            name: "a service is unreachable for a while",
             steps: &[
-                (0, Ends(1)),
-                (1500, Ends(1)),
-                (1501, Ends(2)),
-                (3000, Ends(1)),
-                (3001, Ends(2)),
-                (5000, Ends(1)),
-                (5001, Ends(2)),
+                (0, Crash(1)),
+                (1500, Crash(1)),
+                (1501, Crash(2)),
+                (3000, Crash(1)),
+                (3001, Crash(2)),
+                (5000, Crash(1)),
+                (5001, Crash(2)),
             ],
-            is_held: false,
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "one server ends again, long after it was last used here",
-            steps: &[(0, Ends(1)), (4000, Ends(1)), (8000, Ends(1))],
-            is_held: true,
+        QuarantineCase {
+            name: "one server crashes again, long after its last use by this gateway",
+            steps: &[(0, Crash(1)), (4000, Crash(1)), (8000, Crash(1))],
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "three gateways see one end each",
-            steps: &[(0, HeardEnd(1, 40)), (500, Ends(2)), (900, HeardEnd(3, 20))],
-            is_held: true,
+        QuarantineCase {
+            name: "three gateways see one crash each",
+            steps: &[(0, PeerCrash(1, 40)), (500, Crash(2)), (900, PeerCrash(3, 20))],
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "the same is heard again",
-            steps: &[(0, Ends(2)), (0, HeardEnd(1, 40)), (40, HeardEnd(1, 80))],
-            is_held: false,
+        QuarantineCase {
+            name: "the same crash is received again",
+            steps: &[(0, Crash(2)), (0, PeerCrash(1, 40)), (40, PeerCrash(1, 80))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "a whole answer between",
-            steps: &[(0, Ends(1)), (500, Ends(2)), (600, Whole), (900, Ends(3))],
-            is_held: false,
+        QuarantineCase {
+            name: "a completion in between",
+            steps: &[(0, Crash(1)), (500, Crash(2)), (600, Completion), (900, Crash(3))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "a whole answer elsewhere between",
-            steps: &[(0, Ends(1)), (500, Ends(2)), (700, HeardWhole(100)), (900, Ends(3))],
-            is_held: false,
+        QuarantineCase {
+            name: "a completion in between, at a peer",
+            steps: &[(0, Crash(1)), (500, Crash(2)), (700, PeerCompletion(100)), (900, Crash(3))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "an end before the whole answer is told late",
-            steps: &[(0, Ends(1)), (1, Ends(2)), (500, Whole), (900, HeardEnd(3, 600))],
-            is_held: false,
+        QuarantineCase {
+            name: "a crash before the completion is reported late",
+            steps: &[(0, Crash(1)), (1, Crash(2)), (500, Completion), (900, PeerCrash(3, 600))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "popular, and all its servers lose their power",
-            steps: &[(0, Whole), (500, Ends(1)), (502, Ends(2)), (503, Ends(3)), (505, Ends(4))],
-            is_held: false,
+        QuarantineCase {
+            name: "popular, and all servers lose power",
+            steps: &[
+                (0, Completion),
+                (500, Crash(1)),
+                (502, Crash(2)),
+                (503, Crash(3)),
+                (505, Crash(4)),
+            ],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "popular elsewhere, and all servers lose their power",
-            steps: &[(0, Ends(1)), (1, HeardWhole(3)), (2, Ends(2)), (3, Ends(3)), (4, Ends(4))],
-            is_held: false,
+        QuarantineCase {
+            name: "popular at a peer, and all servers lose power",
+            steps: &[
+                (0, Crash(1)),
+                (1, PeerCompletion(3)),
+                (2, Crash(2)),
+                (3, Crash(3)),
+                (4, Crash(4)),
+            ],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "popular until a new version ends under it",
-            steps: &[(0, Whole), (500, Ends(1)), (2500, Ends(2)), (4500, Ends(3))],
-            is_held: true,
+        QuarantineCase {
+            name: "popular until a new server version crashes under it",
+            steps: &[(0, Completion), (500, Crash(1)), (2500, Crash(2)), (4500, Crash(3))],
+            is_quarantined: true,
         },
-        HoldCase {
+        QuarantineCase {
             name: "popular long ago",
-            steps: &[(0, Whole), (130_000, Ends(1)), (130_001, Ends(2)), (130_002, Ends(3))],
-            is_held: true,
+            steps: &[
+                (0, Completion),
+                (130_000, Crash(1)),
+                (130_001, Crash(2)),
+                (130_002, Crash(3)),
+            ],
+            is_quarantined: true,
         },
-        HoldCase { name: "the store says so", steps: &[(0, Row(5))], is_held: true },
-        HoldCase {
-            name: "the store says so no longer",
-            steps: &[(0, Row(5)), (900, NoRow(6))],
-            is_held: false,
+        QuarantineCase { name: "the store has a row", steps: &[(0, Row(5))], is_quarantined: true },
+        QuarantineCase {
+            name: "the row is removed from the store",
+            steps: &[(0, Row(5)), (900, MissingRow(6))],
+            is_quarantined: false,
         },
-        HoldCase {
+        QuarantineCase {
             name: "an older listing lacks the row",
-            steps: &[(0, Row(5)), (900, NoRow(4))],
-            is_held: true,
+            steps: &[(0, Row(5)), (900, MissingRow(4))],
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "one on its way is answered whole",
-            steps: &[(0, Ends(1)), (1, Ends(2)), (2, Ends(3)), (400, Row(5)), (900, Whole)],
-            is_held: false,
+        QuarantineCase {
+            name: "a request in flight completes",
+            steps: &[(0, Crash(1)), (1, Crash(2)), (2, Crash(3)), (400, Row(5)), (900, Completion)],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "the row comes after the answer that cleared it",
-            steps: &[(0, Ends(1)), (1, Ends(2)), (2, Ends(3)), (390, Whole), (400, Row(5))],
-            is_held: false,
+        QuarantineCase {
+            name: "the row arrives after the completion that cleared it",
+            steps: &[(0, Crash(1)), (1, Crash(2)), (2, Crash(3)), (390, Completion), (400, Row(5))],
+            is_quarantined: false,
         },
-        HoldCase {
-            name: "popular until a new version ends under it, as the store says",
-            steps: &[(0, Whole), (5000, Row(5))],
-            is_held: true,
+        QuarantineCase {
+            name: "popular until a new server version crashes under it, known from the store",
+            steps: &[(0, Completion), (5000, Row(5))],
+            is_quarantined: true,
         },
-        HoldCase {
-            name: "held back on one's own word, before the answer elsewhere is heard",
-            steps: &[(0, Ends(1)), (1, Ends(2)), (2, Ends(3)), (60, HeardWhole(20))],
-            is_held: false,
+        QuarantineCase {
+            name: "quarantined locally before a peer's completion is received",
+            steps: &[(0, Crash(1)), (1, Crash(2)), (2, Crash(3)), (60, PeerCompletion(20))],
+            is_quarantined: false,
         },
     ];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for case in cases {
-        let mut watch = CrashDetector::default();
+        let mut detector = CrashDetector::default();
         for (at, step) in case.steps {
-            step.take(&mut watch, begun + ms(*at));
+            step.take(&mut detector, started_at + ms(*at));
         }
         let last = case.steps.last().map_or(0, |(at, _)| *at);
-        let is_held = watch.held(CONTENT, begun + ms(last)).is_some();
-        assert_eq!(is_held, case.is_held, "{}", case.name);
+        let is_quarantined = detector.status(REQUEST, started_at + ms(last)).is_some();
+        assert_eq!(is_quarantined, case.is_quarantined, "{}", case.name);
     }
 }
 
-/// A watch that holds [`CONTENT`] back from `now` on.
-fn holding(now: Instant) -> CrashDetector {
-    let mut watch = CrashDetector::default();
+/// Returns a detector that quarantines [`REQUEST`] from `now` on.
+fn quarantining(now: Instant) -> CrashDetector {
+    let mut detector = CrashDetector::default();
     for server in 1..=3 {
-        watch.note_crash(CONTENT, server, Duration::ZERO, now);
+        detector.record_crash(REQUEST, server, Duration::ZERO, now);
     }
-    watch
+    detector
 }
 
-/// A sound request is held back by mistake; all who send it are refused. That
-/// must end by itself: after the wait one request is let through, no other
-/// meanwhile, and its whole answer clears the rest and the store's row.
+/// Prevents a harmless request that is quarantined by mistake from being rejected forever.
+/// After the probe delay a single request is admitted, and its completion ends the
+/// quarantine and removes the store's row.
 #[test]
-fn a_wrong_suspicion_ends_by_itself() {
-    let begun = Instant::now();
-    let mut watch = holding(begun);
-    assert_eq!(watch.take_row_changes(), [RowChange::Write(CONTENT)]);
-    watch.note_row(CONTENT, 0, 11, false, begun);
-    let before = begun + FIRST_WAIT - ms(1);
-    assert!(matches!(watch.admit(CONTENT, before), QuarantineVerdict::HeldBack(_)));
-    let due = begun + FIRST_WAIT;
+fn completed_probe_ends_quarantine() {
+    let started_at = Instant::now();
+    let mut detector = quarantining(started_at);
+    assert_eq!(detector.take_row_changes(), [RowChange::Write(REQUEST)]);
+    detector.apply_row(REQUEST, 0, 11, false, started_at);
+    let before = started_at + FIRST_PROBE_DELAY - ms(1);
+    assert!(matches!(detector.admit(REQUEST, before), QuarantineVerdict::Quarantined(_)));
+    let due = started_at + FIRST_PROBE_DELAY;
+    assert!(
+        matches!(detector.admit(REQUEST, due), QuarantineVerdict::ProbeDue(of) if of.version == 11)
+    );
     assert!(
-        matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(held) if held.version == 11)
+        matches!(detector.admit(REQUEST, due), QuarantineVerdict::Quarantined(_)),
+        "one at a time"
     );
-    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::HeldBack(_)), "one at a time");
-    watch.note_row(CONTENT, 1, 12, true, due);
-    watch.note_whole(CONTENT, ELSEWHERE, due + ms(50));
-    assert_eq!(watch.admit(CONTENT, due + ms(50)), QuarantineVerdict::Admitted);
-    assert_eq!(watch.take_row_changes(), [RowChange::Remove(CONTENT, 12)]);
+    detector.apply_row(REQUEST, 1, 12, true, due);
+    detector.record_completion(REQUEST, HEALTHY_SERVER, due + ms(50));
+    assert_eq!(detector.admit(REQUEST, due + ms(50)), QuarantineVerdict::Admitted);
+    assert_eq!(detector.take_row_changes(), [RowChange::Remove(REQUEST, 12)]);
 }
 
-/// A claim of the probe that fails, since the store is away or another gateway
-/// was first, leaves the next to a later request.
+/// A claim of the probe fails when the store is unavailable or another gateway was first; a
+/// later request may then claim the probe.
 #[test]
-fn a_claim_that_fails_is_made_again() {
-    let begun = Instant::now();
-    let mut watch = holding(begun);
-    let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
-    assert!(matches!(watch.admit(CONTENT, due + ms(1999)), QuarantineVerdict::HeldBack(_)));
-    assert!(matches!(watch.admit(CONTENT, due + ms(2000)), QuarantineVerdict::ProbeDue(_)));
+fn failed_claim_is_retried() {
+    let started_at = Instant::now();
+    let mut detector = quarantining(started_at);
+    let due = started_at + FIRST_PROBE_DELAY;
+    assert!(matches!(detector.admit(REQUEST, due), QuarantineVerdict::ProbeDue(_)));
+    assert!(matches!(detector.admit(REQUEST, due + ms(1999)), QuarantineVerdict::Quarantined(_)));
+    assert!(matches!(detector.admit(REQUEST, due + ms(2000)), QuarantineVerdict::ProbeDue(_)));
 }
 
-/// The store is away, and the first of the gateways makes the first probe without
-/// a claim: the next is due after the longer wait.
+/// While the store is unavailable, the first of the gateways sends the first probe without
+/// a claim. The next probe is due after the longer delay.
 #[test]
-fn a_probe_without_a_claim_is_counted() {
-    let begun = Instant::now();
-    let mut watch = holding(begun);
-    let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
-    watch.note_unclaimed_probe(CONTENT, due);
-    let held = watch.held(CONTENT, due).expect("held back");
-    assert_eq!((held.probes, held.left), (1, Duration::from_secs(6)));
+fn unclaimed_probe_is_counted() {
+    let started_at = Instant::now();
+    let mut detector = quarantining(started_at);
+    let due = started_at + FIRST_PROBE_DELAY;
+    assert!(matches!(detector.admit(REQUEST, due), QuarantineVerdict::ProbeDue(_)));
+    detector.begin_unclaimed_probe(REQUEST, due);
+    let status = detector.status(REQUEST, due).expect("quarantined");
+    assert_eq!((status.probes, status.until_probe), (1, Duration::from_secs(6)));
 }
 
-/// A gateway claims the probe, and the answer is lost: its own request is refused.
-/// The row shows later whose claim was taken; without that nobody would make the
-/// probe until the next, longer wait is over.
+/// A gateway claims the probe, and the response is lost: the claiming request is rejected.
+/// The row shows later whose claim succeeded; without that, no gateway would send the probe
+/// until the next, longer delay is over.
 #[test]
-fn a_claim_whose_answer_is_lost_is_used_later() {
-    let begun = Instant::now();
-    let mut watch = holding(begun);
-    watch.note_row(CONTENT, 0, 11, false, begun);
-    let due = begun + FIRST_WAIT;
-    assert!(matches!(watch.admit(CONTENT, due), QuarantineVerdict::ProbeDue(_)));
-    watch.note_row(CONTENT, 1, 12, true, due + ms(20));
-    assert!(matches!(watch.admit(CONTENT, due + ms(30)), QuarantineVerdict::HeldBack(_)));
+fn claim_with_lost_response_is_used_later() {
+    let started_at = Instant::now();
+    let mut detector = quarantining(started_at);
+    detector.apply_row(REQUEST, 0, 11, false, started_at);
+    let due = started_at + FIRST_PROBE_DELAY;
+    assert!(matches!(detector.admit(REQUEST, due), QuarantineVerdict::ProbeDue(_)));
+    detector.apply_row(REQUEST, 1, 12, true, due + ms(20));
+    assert!(matches!(detector.admit(REQUEST, due + ms(30)), QuarantineVerdict::Quarantined(_)));
     let settled = due + ms(2000);
-    assert!(matches!(watch.admit(CONTENT, settled), QuarantineVerdict::Probe(_)));
+    assert!(matches!(detector.admit(REQUEST, settled), QuarantineVerdict::Probe(_)));
     assert!(
-        matches!(watch.admit(CONTENT, settled), QuarantineVerdict::HeldBack(_)),
+        matches!(detector.admit(REQUEST, settled), QuarantineVerdict::Quarantined(_)),
         "one at a time"
     );
 }
 
-/// A probe finds no server, or a full one. It is made again a second later, a few
-/// times; one that ends a server is not.
+/// A probe finds no server, or a full one. It is retried a second later, a few times; a
+/// probe that crashes a server is not.
 #[test]
-fn a_probe_that_told_nothing_is_made_again() {
-    let begun = Instant::now();
-    for ends_server in [false, true] {
-        let mut watch = holding(begun);
-        watch.note_row(CONTENT, 1, 12, true, begun);
+fn inconclusive_probe_is_retried() {
+    let started_at = Instant::now();
+    for crashes_server in [false, true] {
+        let mut detector = quarantining(started_at);
+        detector.apply_row(REQUEST, 1, 12, true, started_at);
         let mut probes = 0;
         for tick in 0..50 {
-            let now = begun + ms(tick * 100);
-            if matches!(watch.admit(CONTENT, now), QuarantineVerdict::Probe(_)) {
+            let now = started_at + ms(tick * 100);
+            if matches!(detector.admit(REQUEST, now), QuarantineVerdict::Probe(_)) {
                 probes += 1;
-                if ends_server {
-                    watch.note_crash(CONTENT, 50, Duration::ZERO, now);
+                if crashes_server {
+                    detector.record_crash(REQUEST, 50, Duration::ZERO, now);
                 }
-                watch.end_probe(CONTENT, now);
+                detector.end_probe(REQUEST, now);
             }
         }
-        assert_eq!(probes, if ends_server { 1 } else { 4 }, "ends a server: {ends_server}");
+        assert_eq!(
+            probes,
+            if crashes_server { 1 } else { 4 },
+            "crashes a server: {crashes_server}"
+        );
     }
 }
 
-/// A request that ends servers comes each second, for good. In its first hour no
-/// more than three further servers may end under it, later than three seconds
-/// after the third.
+/// A poison request arrives every second without end. In its first hour, no more than three
+/// further servers may crash under it, counted from three seconds after the third crash.
 #[test]
-fn probes_come_ever_more_rarely() {
-    let begun = Instant::now();
-    let mut watch = holding(begun);
+fn probe_delays_increase() {
+    let started_at = Instant::now();
+    let mut detector = quarantining(started_at);
     let mut probes = 0;
     for second in 0..3600 {
-        let now = begun + Duration::from_secs(second);
-        watch.tick(false, now);
-        if let QuarantineVerdict::ProbeDue(held) = watch.admit(CONTENT, now) {
+        let now = started_at + Duration::from_secs(second);
+        detector.tick(false, now);
+        if let QuarantineVerdict::ProbeDue(status) = detector.admit(REQUEST, now) {
             probes += u32::from(second > 3);
-            watch.note_row(CONTENT, held.probes + 1, 100 + second, true, now);
-            watch.begin_probe(CONTENT);
-            watch.note_crash(CONTENT, 100 + second, Duration::ZERO, now + ms(50));
+            detector.apply_row(REQUEST, status.probes + 1, 100 + second, true, now);
+            detector.begin_probe(REQUEST);
+            detector.record_crash(REQUEST, 100 + second, Duration::ZERO, now + ms(50));
         }
     }
     assert!((1..=3).contains(&probes), "{probes} probes");
 }
 
-/// Nobody asks any more for what is held back: it is forgotten, and one gateway
-/// removes the row.
+/// A quarantined fingerprint without requests is forgotten, and one gateway removes its
+/// row.
 #[test]
-fn what_nobody_asks_for_is_forgotten() {
-    let begun = Instant::now();
+fn idle_quarantine_is_forgotten() {
+    let started_at = Instant::now();
     for removes_rows in [false, true] {
-        let mut watch = holding(begun);
-        watch.take_row_changes();
-        watch.note_row(CONTENT, 0, 11, false, begun);
-        assert!(watch.tick(removes_rows, begun + Duration::from_secs(300)).is_empty());
-        let later = begun + Duration::from_secs(610);
-        assert_eq!(watch.tick(removes_rows, later), [CONTENT]);
+        let mut detector = quarantining(started_at);
+        detector.take_row_changes();
+        detector.apply_row(REQUEST, 0, 11, false, started_at);
+        assert!(detector.tick(removes_rows, started_at + Duration::from_secs(300)).is_empty());
+        let later = started_at + Duration::from_secs(610);
+        assert_eq!(detector.tick(removes_rows, later), [REQUEST]);
         let removals = usize::from(removes_rows);
-        assert_eq!(watch.take_row_changes().len(), removals, "removes rows: {removes_rows}");
-        assert_eq!(watch.admit(CONTENT, later), QuarantineVerdict::Admitted);
-        assert!(watch.is_empty());
+        assert_eq!(detector.take_row_changes().len(), removals, "removes rows: {removes_rows}");
+        assert_eq!(detector.admit(REQUEST, later), QuarantineVerdict::Admitted);
+        assert!(detector.is_empty());
     }
 }
 
-/// Three fatal requests come at once, and a sound stream is at a server that
-/// each of them ends; it goes on elsewhere each time. What a request that is
-/// held back explains does not count against others.
+/// Three poison requests arrive at once, and a harmless stream is in flight at a server
+/// that each of them crashes; it resumes elsewhere each time. Crashes that a quarantined
+/// request explains do not count against others.
 #[test]
-fn company_of_fatal_requests_is_no_suspicion() {
-    const SOUND: u64 = 1000;
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
-    for fatal in 1..=3u64 {
+fn crashes_of_poison_requests_do_not_count_for_others() {
+    const HARMLESS: u64 = 1000;
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
+    for poison in 1..=3u64 {
         for count in 0..3u64 {
-            let now = begun + ms(fatal * 3000 + count * 100);
-            let server = fatal * 10 + count;
-            watch.note_crash(fatal, server, Duration::ZERO, now);
-            // Its break is noted before the fatal one's third, and after it.
+            let now = started_at + ms(poison * 3000 + count * 100);
+            let server = poison * 10 + count;
+            detector.record_crash(poison, server, Duration::ZERO, now);
+            // The harmless stream's break is recorded both before and after the poison request's
+            // third.
             if count > 0 {
-                watch.note_crash(SOUND, server, Duration::ZERO, now);
+                detector.record_crash(HARMLESS, server, Duration::ZERO, now);
             }
         }
-        let now = begun + ms(fatal * 3000 + 300);
-        assert!(watch.held(fatal, now).is_some(), "{fatal} is not held back");
+        let now = started_at + ms(poison * 3000 + 300);
+        assert!(detector.status(poison, now).is_some(), "{poison} is not quarantined");
     }
-    assert!(watch.held(SOUND, begun + ms(13_000)).is_none());
-    // Its own end of a server counts all the same.
+    assert!(detector.status(HARMLESS, started_at + ms(13_000)).is_none());
+    // A server crash under the harmless request alone still counts.
     for server in 90..93 {
-        watch.note_crash(SOUND, server, Duration::ZERO, begun + ms(13_000));
+        detector.record_crash(HARMLESS, server, Duration::ZERO, started_at + ms(13_000));
     }
-    assert!(watch.held(SOUND, begun + ms(13_000)).is_some());
+    assert!(detector.status(HARMLESS, started_at + ms(13_000)).is_some());
 }
 
-/// What a gateway that has held a request back tells of the sound ones that were
-/// in its company is nothing: one that starts then knows of the fatal request by
-/// the store alone, and could not tell them apart.
+/// A gateway that has quarantined a poison request reports nothing of the harmless ones
+/// that shared its crashes: a gateway that starts then knows the poison request only from
+/// the store, and could not distinguish them.
 #[test]
-fn company_is_told_to_nobody() {
-    const SOUND: u64 = 1000;
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
-    watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
-    watch.note_crash(CONTENT, 2, Duration::ZERO, begun);
-    watch.note_crash(SOUND, 2, Duration::ZERO, begun);
-    watch.note_crash(CONTENT, 3, Duration::ZERO, begun);
-    watch.note_crash(SOUND, 3, Duration::ZERO, begun);
-    let told = watch.news(true, begun + ms(100));
-    assert!(told.iter().all(|news| news.content == CONTENT), "{told:?}");
+fn explained_crashes_are_not_reported() {
+    const HARMLESS: u64 = 1000;
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
+    detector.record_crash(REQUEST, 1, Duration::ZERO, started_at);
+    detector.record_crash(REQUEST, 2, Duration::ZERO, started_at);
+    detector.record_crash(HARMLESS, 2, Duration::ZERO, started_at);
+    detector.record_crash(REQUEST, 3, Duration::ZERO, started_at);
+    detector.record_crash(HARMLESS, 3, Duration::ZERO, started_at);
+    let reported = detector.updates(true, started_at + ms(100));
+    assert!(reported.iter().all(|update| update.content == REQUEST), "{reported:?}");
 }
 
-/// A popular request was answered a moment ago. Then fatal ones end every server
-/// for some seconds, and it is there each time, between no two of the ends
-/// answered. Once the fatal ones are known, what they explain does not count.
+/// A popular request completed a moment ago. Then poison requests crash every server for
+/// some seconds, and the popular one is in flight each time without completing between two
+/// crashes. Once the poison requests are known, the crashes that they explain do not count.
 #[test]
-fn popular_company_is_no_suspicion() {
+fn popular_request_is_not_blamed_for_explained_crashes() {
     const POPULAR: u64 = 1000;
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
-    watch.note_whole(POPULAR, ELSEWHERE, begun);
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
+    detector.record_completion(POPULAR, HEALTHY_SERVER, started_at);
     for (server, at) in [(1, 1000), (2, 1100), (3, 2500), (4, 4000), (5, 4100)] {
-        watch.note_crash(POPULAR, server, Duration::ZERO, begun + ms(at));
-        watch.note_crash(CONTENT, server, Duration::ZERO, begun + ms(at));
+        detector.record_crash(POPULAR, server, Duration::ZERO, started_at + ms(at));
+        detector.record_crash(REQUEST, server, Duration::ZERO, started_at + ms(at));
     }
-    assert!(watch.held(CONTENT, begun + ms(4100)).is_some());
-    assert!(watch.held(POPULAR, begun + ms(4100)).is_none());
+    assert!(detector.status(REQUEST, started_at + ms(4100)).is_some());
+    assert!(detector.status(POPULAR, started_at + ms(4100)).is_none());
 }
 
-/// A sound request is at each server that a fatal one ends, and its breaks are
-/// noted first. The fatal one must not be let off for that.
+/// A harmless request is in flight at each server that a poison one crashes, and its breaks
+/// are recorded first. The poison request must not be excluded because of that.
 #[test]
-fn a_fatal_request_is_not_let_off_for_its_company() {
-    const SOUND: u64 = 1000;
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
+fn poison_request_recorded_second_is_quarantined() {
+    const HARMLESS: u64 = 1000;
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
     for server in 1..=3 {
-        watch.note_crash(SOUND, server, Duration::ZERO, begun);
-        watch.note_crash(CONTENT, server, Duration::ZERO, begun);
+        detector.record_crash(HARMLESS, server, Duration::ZERO, started_at);
+        detector.record_crash(REQUEST, server, Duration::ZERO, started_at);
     }
-    assert!(watch.held(CONTENT, begun).is_some());
+    assert!(detector.status(REQUEST, started_at).is_some());
 }
 
-/// A gateway starts while servers end for their own reasons. One gateway tells it
-/// of three ends under a popular request, another a moment later of the whole
-/// answers between: it judges once it has heard both.
+/// A gateway starts while servers crash for other reasons. One peer reports three crashes
+/// under a popular request, another a moment later the completions in between. The gateway
+/// decides only after it has received both.
 #[test]
-fn a_gateway_that_has_just_begun_does_not_judge() {
-    let begun = Instant::now();
-    let end =
-        |id| OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Crashed(id), age_ms: 900 };
-    let whole = OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 100 };
-    for is_sound in [true, false] {
-        let mut watch = CrashDetector::new(begun);
+fn no_quarantine_during_warm_up() {
+    let started_at = Instant::now();
+    let crash =
+        |id| OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Crashed(id), age_ms: 900 };
+    let completion = OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Whole, age_ms: 100 };
+    for is_harmless in [true, false] {
+        let mut detector = CrashDetector::new(started_at);
         for id in 1..=3 {
-            watch.hear(end(id), begun + ms(50));
+            detector.apply_peer_outcome(crash(id), started_at + ms(50));
         }
-        assert!(watch.held(CONTENT, begun + ms(60)).is_none(), "sound: {is_sound}");
-        if is_sound {
-            watch.hear(whole, begun + ms(300));
+        assert!(detector.status(REQUEST, started_at + ms(60)).is_none(), "harmless: {is_harmless}");
+        if is_harmless {
+            detector.apply_peer_outcome(completion, started_at + ms(300));
         }
-        watch.judge(CONTENT, begun + ms(3000));
-        let is_held = watch.held(CONTENT, begun + ms(3000)).is_some();
-        assert_eq!(is_held, !is_sound, "sound: {is_sound}");
+        detector.quarantine_if_suspect(REQUEST, started_at + ms(3000));
+        let is_quarantined = detector.status(REQUEST, started_at + ms(3000)).is_some();
+        assert_eq!(is_quarantined, !is_harmless, "harmless: {is_harmless}");
     }
 }
 
-/// Hundreds of servers end in one moment, thousands of requests with them, while
-/// a fatal one is about. What is remembered and told stays bounded, and what
-/// says most is kept.
+/// Hundreds of servers crash at one moment, with thousands of requests in flight, while a
+/// poison request is active. Records and reports stay bounded, and the most informative
+/// records are kept.
 #[test]
 fn memory_and_reports_are_bounded() {
     const MAX_RECORDS: usize = 1024;
-    const MAX_TOLD: usize = 32;
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
-    watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
-    watch.note_crash(CONTENT, 2, Duration::ZERO, begun + ms(1));
-    for content in 100..5100 {
-        watch.note_crash(content, content % 300, Duration::ZERO, begun + ms(2));
+    const MAX_OUTCOMES: usize = 32;
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
+    detector.record_crash(REQUEST, 1, Duration::ZERO, started_at);
+    detector.record_crash(REQUEST, 2, Duration::ZERO, started_at + ms(1));
+    for fingerprint in 100..5100 {
+        detector.record_crash(fingerprint, fingerprint % 300, Duration::ZERO, started_at + ms(2));
     }
-    for content in 10_000..60_000 {
-        watch.note_whole(content, ELSEWHERE, begun + ms(3));
+    for fingerprint in 10_000..60_000 {
+        detector.record_completion(fingerprint, HEALTHY_SERVER, started_at + ms(3));
     }
-    assert!(watch.len() <= MAX_RECORDS, "{} records", watch.len());
-    assert!(watch.news(true, begun + ms(4)).len() <= MAX_TOLD);
-    watch.note_crash(CONTENT, 3, Duration::ZERO, begun + ms(5));
-    assert!(watch.held(CONTENT, begun + ms(5)).is_some());
-    watch.tick(true, begun + Duration::from_secs(1300));
-    assert!(watch.is_empty(), "{} records", watch.len());
+    assert!(detector.len() <= MAX_RECORDS, "{} records", detector.len());
+    assert!(detector.updates(true, started_at + ms(4)).len() <= MAX_OUTCOMES);
+    detector.record_crash(REQUEST, 3, Duration::ZERO, started_at + ms(5));
+    assert!(detector.status(REQUEST, started_at + ms(5)).is_some());
+    detector.tick(true, started_at + Duration::from_secs(1300));
+    assert!(detector.is_empty(), "{} records", detector.len());
 }
 
-/// What a report tells, and for how long.
-struct TellCase {
+/// When an outcome is part of a report.
+struct ReportCase {
     name: &'static str,
     after: Duration,
-    tells_all: bool,
-    is_told: bool,
+    reports_all: bool,
+    is_reported: bool,
 }
 
 #[test]
-fn outcomes_are_told_several_times() {
+fn outcomes_are_reported_repeatedly() {
     let cases = [
-        TellCase { name: "at once", after: ms(0), tells_all: false, is_told: true },
-        TellCase { name: "a little later", after: ms(399), tells_all: false, is_told: true },
-        TellCase { name: "then rarely", after: ms(400), tells_all: false, is_told: false },
-        TellCase { name: "with what is slow", after: ms(9000), tells_all: true, is_told: true },
-        TellCase { name: "not for good", after: ms(10_000), tells_all: true, is_told: false },
+        ReportCase { name: "immediately", after: ms(0), reports_all: false, is_reported: true },
+        ReportCase {
+            name: "within the fresh window",
+            after: ms(399),
+            reports_all: false,
+            is_reported: true,
+        },
+        ReportCase {
+            name: "after the fresh window",
+            after: ms(400),
+            reports_all: false,
+            is_reported: false,
+        },
+        ReportCase {
+            name: "in a full report",
+            after: ms(9000),
+            reports_all: true,
+            is_reported: true,
+        },
+        ReportCase {
+            name: "after the retention",
+            after: ms(10_000),
+            reports_all: true,
+            is_reported: false,
+        },
     ];
-    let begun = Instant::now();
+    let started_at = Instant::now();
     for case in cases {
-        let mut watch = CrashDetector::default();
-        watch.note_crash(CONTENT, 1, Duration::ZERO, begun);
-        let news = watch.news(case.tells_all, begun + case.after);
-        assert_eq!(!news.is_empty(), case.is_told, "{}", case.name);
-        assert!(news.iter().all(|of| u128::from(of.age_ms) == case.after.as_millis()));
+        let mut detector = CrashDetector::default();
+        detector.record_crash(REQUEST, 1, Duration::ZERO, started_at);
+        let updates = detector.updates(case.reports_all, started_at + case.after);
+        assert_eq!(!updates.is_empty(), case.is_reported, "{}", case.name);
+        assert!(updates.iter().all(|of| u128::from(of.age_ms) == case.after.as_millis()));
     }
 }
 
-/// A gateway that has seen a content answered whole says so once servers end
-/// under it elsewhere; what became of contents that nobody suspects is told to
-/// nobody.
+/// A gateway that has seen a request complete reports that once servers crash under it
+/// elsewhere. Outcomes of fingerprints that no gateway suspects are not reported.
 #[test]
-fn whole_answers_are_told_where_they_matter() {
-    let begun = Instant::now();
-    let mut watch = CrashDetector::default();
-    watch.note_whole(CONTENT, ELSEWHERE, begun);
-    assert!(watch.news(true, begun).is_empty());
+fn completions_are_reported_for_suspects() {
+    let started_at = Instant::now();
+    let mut detector = CrashDetector::default();
+    detector.record_completion(REQUEST, HEALTHY_SERVER, started_at);
+    assert!(detector.updates(true, started_at).is_empty());
     let outcome = SendOutcome::Crashed(1);
-    watch.hear(OutcomeUpdate { content: CONTENT, outcome, age_ms: 30 }, begun + ms(500));
-    let told = watch.news(false, begun + ms(500));
-    let expected = OutcomeUpdate { content: CONTENT, outcome: SendOutcome::Whole, age_ms: 31 };
-    assert_eq!(told, [expected]);
-    // Once cleared, it is told anew with the next end: others may have begun
-    // since.
-    watch.note_whole(CONTENT, ELSEWHERE, begun + ms(600));
-    watch.note_crash(CONTENT, 2, Duration::ZERO, begun + ms(20_000));
-    let told = watch.news(false, begun + ms(20_000));
-    let wholes = told.iter().filter(|news| news.outcome == SendOutcome::Whole).count();
-    assert_eq!(wholes, 1, "{told:?}");
+    detector.apply_peer_outcome(
+        OutcomeUpdate { content: REQUEST, outcome, age_ms: 30 },
+        started_at + ms(500),
+    );
+    let reported = detector.updates(false, started_at + ms(500));
+    let expected = OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Whole, age_ms: 31 };
+    assert_eq!(reported, [expected]);
+    // Once cleared, the completion is reported again with the next crash, since other gateways
+    // may have started meanwhile.
+    detector.record_completion(REQUEST, HEALTHY_SERVER, started_at + ms(600));
+    detector.record_crash(REQUEST, 2, Duration::ZERO, started_at + ms(20_000));
+    let reported = detector.updates(false, started_at + ms(20_000));
+    let completions = reported.iter().filter(|update| update.outcome == SendOutcome::Whole).count();
+    assert_eq!(completions, 1, "{reported:?}");
 }
--- a/crates/gateway/tests/request_fingerprint.rs
+++ b/crates/gateway/tests/request_fingerprint.rs
@@ -1,8 +1,8 @@
-//! Requests that are the same have the same digest, and others have not.
+//! Equal requests have equal fingerprints, and different requests have different ones.
 
 use umberglade_gateway::model::ContentParts;
 
-const USUAL: ContentParts<'static> = ContentParts {
+const BASE_PARTS: ContentParts<'static> = ContentParts {
     method: "POST",
     host: "site.example",
     target: "/files/7?page=1",
@@ -10,51 +10,51 @@
     body: b"hello",
 };
 
-struct ContentCase {
+struct FingerprintCase {
     name: &'static str,
     parts: ContentParts<'static>,
     is_same: bool,
 }
 
-/// A request that comes again has another id and another deadline, neither of
-/// which is a part; whatever else differs makes it another request.
+/// A repeated request has a new id and a new deadline, neither of which is part of the
+/// fingerprint. Any other difference makes it a different request.
 #[test]
-fn what_makes_requests_the_same() {
+fn fingerprint_covers_all_parts() {
     let cases = [
-        ContentCase { name: "again", parts: USUAL, is_same: true },
-        ContentCase {
+        FingerprintCase { name: "repeated", parts: BASE_PARTS, is_same: true },
+        FingerprintCase {
             name: "method",
-            parts: ContentParts { method: "GET", ..USUAL },
+            parts: ContentParts { method: "GET", ..BASE_PARTS },
             is_same: false,
         },
-        ContentCase {
+        FingerprintCase {
             name: "host",
-            parts: ContentParts { host: "other.example", ..USUAL },
+            parts: ContentParts { host: "other.example", ..BASE_PARTS },
             is_same: false,
         },
-        ContentCase {
+        FingerprintCase {
             name: "query",
-            parts: ContentParts { target: "/files/7?page=2", ..USUAL },
+            parts: ContentParts { target: "/files/7?page=2", ..BASE_PARTS },
             is_same: false,
         },
-        ContentCase {
-            name: "caller",
-            parts: ContentParts { credentials: b"Bearer b", ..USUAL },
+        FingerprintCase {
+            name: "credentials",
+            parts: ContentParts { credentials: b"Bearer b", ..BASE_PARTS },
             is_same: false,
         },
-        ContentCase {
+        FingerprintCase {
             name: "body",
-            parts: ContentParts { body: b"hellO", ..USUAL },
+            parts: ContentParts { body: b"hellO", ..BASE_PARTS },
             is_same: false,
         },
-        ContentCase {
-            name: "a part's end moved into the next",
-            parts: ContentParts { credentials: b"Bearer ", body: b"ahello", ..USUAL },
+        FingerprintCase {
+            name: "end of one part moved into the next",
+            parts: ContentParts { credentials: b"Bearer ", body: b"ahello", ..BASE_PARTS },
             is_same: false,
         },
     ];
     for case in cases {
-        let is_same = case.parts.digest() == USUAL.digest();
+        let is_same = case.parts.digest() == BASE_PARTS.digest();
         assert_eq!(is_same, case.is_same, "{}", case.name);
     }
 }
--- /dev/null
+++ b/crates/gateway/tests/shared_crashes.rs
@@ -0,0 +1,219 @@
+//! Tests which of several fingerprints is quarantined when servers crashed under all of
+//! them before any request completed.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use umberglade_gateway::cluster::CrashDetector;
+use umberglade_gateway::cluster::OutcomeUpdate;
+use umberglade_gateway::cluster::QuarantineVerdict;
+use umberglade_gateway::cluster::RowChange;
+use umberglade_gateway::cluster::SendOutcome;
+
+const POISON: u64 = 7;
+const POPULAR: u64 = 8;
+
+fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
+/// Three servers crash under both fingerprints, after each run has sent events for the
+/// given number of milliseconds.
+fn crash_three(detector: &mut CrashDetector, popular_ms: [u64; 3], poison_ms: u64, now: Instant) {
+    for (server, popular_ms) in (1..).zip(popular_ms) {
+        detector.record_crash(POPULAR, server, ms(popular_ms), now);
+        detector.record_crash(POISON, server, ms(poison_ms), now);
+    }
+}
+
+struct RunCase {
+    name: &'static str,
+    popular_ms: [u64; 3],
+    poison_ms: u64,
+    is_popular_quarantined: bool,
+}
+
+/// Prevents popular streams from being rejected together with poison ones that crash three
+/// engines before any stream has completed: a run of the popular streams lasted much
+/// longer.
+#[test]
+fn long_running_request_is_released() {
+    let cases = [
+        RunCase {
+            name: "much longer",
+            popular_ms: [0, 141, 30],
+            poison_ms: 57,
+            is_popular_quarantined: false,
+        },
+        RunCase {
+            name: "slightly longer",
+            popular_ms: [0, 90, 30],
+            poison_ms: 57,
+            is_popular_quarantined: true,
+        },
+        RunCase {
+            name: "no events from either",
+            popular_ms: [0; 3],
+            poison_ms: 0,
+            is_popular_quarantined: true,
+        },
+    ];
+    for case in cases {
+        let now = Instant::now();
+        let mut detector = CrashDetector::default();
+        crash_three(&mut detector, case.popular_ms, case.poison_ms, now);
+        assert_eq!(
+            detector.status(POPULAR, now).is_some(),
+            case.is_popular_quarantined,
+            "{}",
+            case.name
+        );
+        assert!(detector.status(POISON, now).is_some(), "{}", case.name);
+    }
+}
+
+/// Prevents only the gateway that saw the long run from releasing the popular fingerprint.
+#[test]
+fn run_durations_are_applied_from_peers() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0; 3], 57, now);
+    assert!(detector.status(POPULAR, now).is_some());
+    let outcome = SendOutcome::Lived(200);
+    detector.apply_peer_outcome(OutcomeUpdate { content: POPULAR, outcome, age_ms: 2 }, now);
+    assert!(detector.status(POPULAR, now).is_none());
+    assert!(detector.status(POISON, now).is_some());
+}
+
+/// Prevents a released fingerprint from being quarantined again when peers repeat the
+/// reports of the same crashes.
+#[test]
+fn repeated_crash_reports_change_nothing() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0, 141, 0], 57, now);
+    for id in 1..=3 {
+        let outcome = SendOutcome::Crashed(id);
+        detector.apply_peer_outcome(
+            OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 },
+            now + ms(5),
+        );
+    }
+    assert!(detector.status(POPULAR, now + ms(5)).is_none());
+}
+
+/// Prevents harmless requests from being rejected for seconds until a first probe: of two
+/// fingerprints, the more likely harmless one is probed at once, and requests of both wait
+/// for the result.
+#[test]
+fn request_with_longest_run_is_probed_first() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0, 90, 0], 57, now);
+    let popular = detector.status(POPULAR, now).expect("quarantined");
+    let poison = detector.status(POISON, now).expect("quarantined");
+    assert!(popular.is_provisional && poison.is_provisional);
+    assert!(popular.until_probe.is_zero() && !poison.until_probe.is_zero());
+    assert!(matches!(detector.admit(POPULAR, now), QuarantineVerdict::ProbeDue(_)));
+    detector.record_completion(POPULAR, 99, now + ms(400));
+    assert_eq!(detector.admit(POPULAR, now + ms(400)), QuarantineVerdict::Admitted);
+    // One probe shows the outcome for the other too, before it counts as poison.
+    let poison = detector.status(POISON, now + ms(400)).expect("quarantined");
+    assert!(poison.is_provisional && poison.until_probe.is_zero());
+    detector.begin_unclaimed_probe(POISON, now + ms(400));
+    let poison = detector.status(POISON, now + ms(1100)).expect("quarantined");
+    assert!(!poison.is_provisional && !poison.until_probe.is_zero());
+}
+
+/// Prevents the rejection of a popular request whose probe is in flight, once the other
+/// popular request that was quarantined with it has completed.
+#[test]
+fn last_of_several_awaits_its_probe() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0; 3], 0, now);
+    detector.begin_unclaimed_probe(POPULAR, now + ms(50));
+    detector.record_completion(POISON, 99, now + ms(200));
+    let popular = detector.status(POPULAR, now + ms(210)).expect("quarantined");
+    assert!(popular.is_provisional, "its callers must wait");
+    detector.record_completion(POPULAR, 99, now + ms(260));
+    assert_eq!(detector.admit(POPULAR, now + ms(260)), QuarantineVerdict::Admitted);
+}
+
+/// Prevents a probe from being consumed at a server that is known to have crashed: it gives
+/// no information, and another may be sent.
+#[test]
+fn probe_at_known_crash_is_not_consumed() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0; 3], 0, now);
+    detector.begin_unclaimed_probe(POPULAR, now + ms(100));
+    detector.record_crash(POPULAR, 2, Duration::ZERO, now + ms(101));
+    detector.end_probe(POPULAR, now + ms(101));
+    let verdict = detector.admit(POPULAR, now + ms(1200));
+    assert!(matches!(verdict, QuarantineVerdict::Probe(_)), "{verdict:?}");
+}
+
+struct RowCase {
+    name: &'static str,
+    /// The version up to which peers report rows as void, if they do.
+    void_up_to: Option<u64>,
+    row: u64,
+    is_quarantined: bool,
+}
+
+/// Prevents a gateway that starts while the store still has the row of a cleared
+/// fingerprint from applying that row: peers report which rows are void.
+#[test]
+fn rows_of_cleared_requests_are_void() {
+    let cases = [
+        RowCase { name: "nothing reported", void_up_to: None, row: 5, is_quarantined: true },
+        RowCase { name: "void", void_up_to: Some(5), row: 5, is_quarantined: false },
+        RowCase { name: "newer", void_up_to: Some(5), row: 6, is_quarantined: true },
+    ];
+    for case in &cases {
+        for is_reported_first in [true, false] {
+            let now = Instant::now();
+            let mut detector = CrashDetector::new(now);
+            let report = |detector: &mut CrashDetector| {
+                if let Some(version) = case.void_up_to {
+                    let outcome = SendOutcome::Cleared(version);
+                    detector.apply_peer_outcome(
+                        OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 },
+                        now,
+                    );
+                }
+            };
+            if is_reported_first {
+                report(&mut detector);
+            }
+            detector.apply_row(POPULAR, 0, case.row, false, now);
+            if !is_reported_first {
+                // Until the report arrives, requests wait instead of being rejected.
+                assert!(detector.status(POPULAR, now).is_some_and(|status| status.is_provisional));
+                report(&mut detector);
+            }
+            let is_quarantined = detector.status(POPULAR, now).is_some();
+            assert_eq!(
+                is_quarantined, case.is_quarantined,
+                "{}, reported first: {is_reported_first}",
+                case.name
+            );
+        }
+    }
+}
+
+/// Prevents stale rows: the gateway that clears a fingerprint reports that to its peers and
+/// has its row removed.
+#[test]
+fn clearing_is_reported_and_removes_the_row() {
+    let now = Instant::now();
+    let mut detector = CrashDetector::default();
+    crash_three(&mut detector, [0; 3], 0, now);
+    detector.apply_row(POPULAR, 0, 12, false, now);
+    detector.take_row_changes();
+    detector.record_completion(POPULAR, 99, now);
+    assert_eq!(detector.take_row_changes(), [RowChange::Remove(POPULAR, 12)]);
+    let is_reported = |update: &OutcomeUpdate| update.outcome == SendOutcome::Cleared(12);
+    assert!(detector.updates(false, now).iter().any(is_reported));
+}
