--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -74,7 +74,7 @@
         fleet.upsert(entry("plain", at, ServerStage::Plain), (servers + at) as u64 + 1);
     }
     for peer in 1..gateways {
-        fleet.peers.note(&format!("gw-{peer}"), 1, 1, news(servers, peer, 0), now);
+        fleet.peers.record(&format!("gw-{peer}"), 1, 1, news(servers, peer, 0), now);
     }
     fleet
 }
@@ -100,7 +100,7 @@
             bench.iter(|| {
                 sequence += 1;
                 let news = reports[sequence as usize % reports.len()].clone();
-                fleet.peers.note("gw-1", 1, sequence, news, now)
+                fleet.peers.record("gw-1", 1, sequence, news, now)
             });
         });
     }
--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -9,7 +9,7 @@
 use super::PlacementError;
 use super::PlacementRequest;
 use super::ServerState;
-use super::ServerSum;
+use super::ServerTotals;
 use crate::model::EngineSpec;
 use crate::model::PromptShape;
 use crate::model::ServerKey;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
     pub server_state: &'a ServerState,
-    pub others: ServerSum,
+    pub others: ServerTotals,
     /// False while the server's rate limit keeps this gateway from sending to it.
     pub may_send: bool,
     /// What its failures weigh, ours and those that others saw, in shares of
@@ -58,7 +58,7 @@
     /// True when we pass the server over, or enough of the other gateways do
     /// that it is hardly their paths.
     pub fn is_aside(&self, now: Instant) -> bool {
-        self.server_state.health.is_aside(now) || self.others.aside >= PEERS_TO_BELIEVE
+        self.server_state.health.is_aside(now) || self.others.ejections >= PEERS_TO_BELIEVE
     }
 
     /// How full the engine would be with a stream of `shape`, from 0 to 1;
@@ -145,8 +145,8 @@
 /// What our own failures there weigh, and those of the other gateways: a
 /// server that one of them passes over is likely down for all, though only
 /// this one's path may be.
-fn failure_cost(server_state: &ServerState, others: ServerSum, now: Instant) -> f64 {
-    let peers = f64::from(others.aside.min(3));
+fn failure_cost(server_state: &ServerState, others: ServerTotals, now: Instant) -> f64 {
+    let peers = f64::from(others.ejections.min(3));
     server_state.health.failure_share(now) * FAILURE_WEIGHT + peers * PEER_ASIDE_WEIGHT
 }
 
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -118,7 +118,7 @@
     /// Until when missing entries may only have lapsed.
     fn lapse_until(&self, now: Instant) -> Option<Instant> {
         let until = self.grace_until.filter(|until| now < *until)?;
-        (!self.peers.has_read_for(LAPSE_GRACE, now)).then_some(until)
+        (!self.peers.is_store_stable_at_a_peer(LAPSE_GRACE, now)).then_some(until)
     }
 
     /// Takes in a server's row.
@@ -223,7 +223,7 @@
 
     /// Drops servers whose grace has passed; call about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<FleetChange> {
-        self.peers.forget_old(now);
+        self.peers.remove_expired(now);
         self.changing.retain(|_, (_, until)| now < *until);
         if self.has_flow_control() {
             let listed: FxHashSet<ServerIncarnation> =
--- a/crates/gateway/src/cluster/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -5,7 +5,7 @@
 use super::Fleet;
 use super::LoadShare;
 use super::ServerState;
-use super::ServerSum;
+use super::ServerTotals;
 use super::server_shards::shard_count;
 use super::server_shards::shares_shard;
 
@@ -35,12 +35,12 @@
         &'a self,
         service: &str,
         now: Instant,
-    ) -> impl Iterator<Item = (&'a ServerState, ServerSum)> {
+    ) -> impl Iterator<Item = (&'a ServerState, ServerTotals)> {
         let shards = self.shards(service);
         let has_near = shards > 1 && self.open_of(service, shards, now).next().is_some();
         self.open_of(service, if has_near { shards } else { 1 }, now)
             .map(move |state| (state, self.peers.server(state.incarnation, now)))
-            .filter(|(_, others)| others.changing == 0)
+            .filter(|(_, others)| others.stage_changes == 0)
     }
 
     /// The open servers of `service` in this gateway's one of `shards`.
--- a/crates/gateway/src/cluster/in_force.rs
+++ b/crates/gateway/src/cluster/in_force.rs
@@ -12,7 +12,7 @@
     /// It is in force now, instead of version `before`.
     Applied { before: Option<ConfigVersion> },
     /// It is the one in force, or older.
-    Old { current: ConfigVersion },
+    NotNewer { current: ConfigVersion },
 }
 
 /// The configuration in force.
@@ -27,10 +27,10 @@
 
 impl InForce {
     /// Takes in `table`, read at row version `version`.
-    pub fn offer(&mut self, version: StoreVersion, table: RouteTable) -> InForceChange {
+    pub fn apply_if_newer(&mut self, version: StoreVersion, table: RouteTable) -> InForceChange {
         let before = match &self.current {
             Some((known, current)) if version <= *known || table.version <= current.version => {
-                return InForceChange::Old { current: current.version };
+                return InForceChange::NotNewer { current: current.version };
             }
             Some((_, current)) => Some(current.version),
             None => None,
--- a/crates/gateway/src/cluster/peer_totals.rs
+++ b/crates/gateway/src/cluster/peer_totals.rs
@@ -10,24 +10,24 @@
 
 /// What the other gateways together tell of one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ServerSum {
+pub struct ServerTotals {
     /// Their work there.
     pub load: LoadShare,
     /// How many of them pass it over.
-    pub aside: u32,
+    pub ejections: u32,
     /// How many of them have told it to change its stage.
-    pub changing: u32,
+    pub stage_changes: u32,
 }
 
-impl ServerSum {
-    /// Takes out what `news` tells of the server with `digest`.
-    pub fn remove(&mut self, news: &PeerUpdate, digest: u64) {
-        for (_, load) in news.loads.iter().filter(|(server, _)| *server == digest) {
+impl ServerTotals {
+    /// Takes out what `update` tells of the server with `digest`.
+    pub fn remove(&mut self, update: &PeerUpdate, digest: u64) {
+        for (_, load) in update.loads.iter().filter(|(server, _)| *server == digest) {
             self.load = self.load.minus(load.bounded());
         }
         let count = |servers: &[u64]| servers.iter().filter(|server| **server == digest).count();
-        self.aside -= count(&news.aside) as u32;
-        self.changing -= count(&news.changing) as u32;
+        self.ejections -= count(&update.aside) as u32;
+        self.stage_changes -= count(&update.changing) as u32;
     }
 }
 
@@ -36,23 +36,23 @@
 /// Whole numbers throughout, so that taking a report out again leaves exactly
 /// what there was before it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct ServiceSum {
+pub struct ServiceTotals {
     requests: u64,
-    repeats: u64,
+    retries: u64,
     waiting: u64,
     on_time: u64,
     pace_milli: u64,
     arrivals_milli: u64,
 }
 
-impl ServiceSum {
+impl ServiceTotals {
     /// Requests and repeats.
     pub fn retries(&self) -> RetryCount {
-        RetryCount { requests: saturated(self.requests), repeats: saturated(self.repeats) }
+        RetryCount { requests: saturated(self.requests), repeats: saturated(self.retries) }
     }
 
     /// Their waiting lines.
-    pub fn lines(&self) -> PeerQueues {
+    pub fn queues(&self) -> PeerQueues {
         PeerQueues {
             waiting: saturated(self.waiting),
             on_time: saturated(self.on_time),
@@ -61,39 +61,39 @@
         }
     }
 
-    /// Takes out what `news` tells of the service with `digest`.
-    pub fn remove(&mut self, news: &PeerUpdate, digest: u64) {
+    /// Takes out what `update` tells of the service with `digest`.
+    pub fn remove(&mut self, update: &PeerUpdate, digest: u64) {
         let is_this = |service: &u64| *service == digest;
-        for (_, count) in news.retries.iter().filter(|(service, _)| is_this(service)) {
+        for (_, count) in update.retries.iter().filter(|(service, _)| is_this(service)) {
             self.remove_retries(*count);
         }
-        for (_, line) in news.lines.iter().filter(|(service, _)| is_this(service)) {
-            self.remove_line(*line);
+        for (_, queue) in update.lines.iter().filter(|(service, _)| is_this(service)) {
+            self.remove_queue(*queue);
         }
     }
 
     fn add_retries(&mut self, count: RetryCount) {
         self.requests += u64::from(count.requests);
-        self.repeats += u64::from(count.repeats);
+        self.retries += u64::from(count.repeats);
     }
 
     fn remove_retries(&mut self, count: RetryCount) {
         self.requests -= u64::from(count.requests);
-        self.repeats -= u64::from(count.repeats);
+        self.retries -= u64::from(count.repeats);
     }
 
-    fn add_line(&mut self, line: QueueUpdate) {
-        self.waiting += u64::from(line.waiting);
-        self.on_time += u64::from(line.on_time);
-        self.pace_milli += u64::from(line.pace_milli);
-        self.arrivals_milli += u64::from(line.arrivals_milli);
+    fn add_queue(&mut self, queue: QueueUpdate) {
+        self.waiting += u64::from(queue.waiting);
+        self.on_time += u64::from(queue.on_time);
+        self.pace_milli += u64::from(queue.pace_milli);
+        self.arrivals_milli += u64::from(queue.arrivals_milli);
     }
 
-    fn remove_line(&mut self, line: QueueUpdate) {
-        self.waiting -= u64::from(line.waiting);
-        self.on_time -= u64::from(line.on_time);
-        self.pace_milli -= u64::from(line.pace_milli);
-        self.arrivals_milli -= u64::from(line.arrivals_milli);
+    fn remove_queue(&mut self, queue: QueueUpdate) {
+        self.waiting -= u64::from(queue.waiting);
+        self.on_time -= u64::from(queue.on_time);
+        self.pace_milli -= u64::from(queue.pace_milli);
+        self.arrivals_milli -= u64::from(queue.arrivals_milli);
     }
 }
 
@@ -110,74 +110,74 @@
 /// Invariant: equal to the sum over all reports added and not removed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct PeerTotals {
-    servers: FxHashMap<u64, ServerSum>,
-    services: FxHashMap<u64, ServiceSum>,
+    servers: FxHashMap<u64, ServerTotals>,
+    services: FxHashMap<u64, ServiceTotals>,
 }
 
 impl PeerTotals {
     /// What is told of the server with `digest`.
-    pub fn server(&self, digest: u64) -> ServerSum {
+    pub fn server(&self, digest: u64) -> ServerTotals {
         self.servers.get(&digest).copied().unwrap_or_default()
     }
 
     /// What is told of the service with `digest`.
-    pub fn service(&self, digest: u64) -> ServiceSum {
+    pub fn service(&self, digest: u64) -> ServiceTotals {
         self.services.get(&digest).copied().unwrap_or_default()
     }
 
     /// Counts a report.
-    pub fn add(&mut self, news: &PeerUpdate) {
-        for (server, load) in &news.loads {
+    pub fn add(&mut self, update: &PeerUpdate) {
+        for (server, load) in &update.loads {
             let sum = self.servers.entry(*server).or_default();
             sum.load = sum.load.plus(load.bounded());
         }
-        for server in &news.aside {
-            self.servers.entry(*server).or_default().aside += 1;
+        for server in &update.aside {
+            self.servers.entry(*server).or_default().ejections += 1;
         }
-        for server in &news.changing {
-            self.servers.entry(*server).or_default().changing += 1;
+        for server in &update.changing {
+            self.servers.entry(*server).or_default().stage_changes += 1;
         }
-        for (service, count) in &news.retries {
+        for (service, count) in &update.retries {
             self.services.entry(*service).or_default().add_retries(*count);
         }
-        for (service, line) in &news.lines {
-            self.services.entry(*service).or_default().add_line(*line);
+        for (service, queue) in &update.lines {
+            self.services.entry(*service).or_default().add_queue(*queue);
         }
     }
 
     /// Takes out a report that was counted.
-    pub fn remove(&mut self, news: &PeerUpdate) {
-        for (server, load) in &news.loads {
+    pub fn remove(&mut self, update: &PeerUpdate) {
+        for (server, load) in &update.loads {
             self.change_server(*server, |sum| sum.load = sum.load.minus(load.bounded()));
         }
-        for server in &news.aside {
-            self.change_server(*server, |sum| sum.aside -= 1);
+        for server in &update.aside {
+            self.change_server(*server, |sum| sum.ejections -= 1);
         }
-        for server in &news.changing {
-            self.change_server(*server, |sum| sum.changing -= 1);
+        for server in &update.changing {
+            self.change_server(*server, |sum| sum.stage_changes -= 1);
         }
-        for (service, count) in &news.retries {
+        for (service, count) in &update.retries {
             self.change_service(*service, |sum| sum.remove_retries(*count));
         }
-        for (service, line) in &news.lines {
-            self.change_service(*service, |sum| sum.remove_line(*line));
+        for (service, queue) in &update.lines {
+            self.change_service(*service, |sum| sum.remove_queue(*queue));
         }
     }
 
     /// Changes a server's sum; one that has become empty is dropped, so that
     /// servers long gone take no memory.
-    fn change_server(&mut self, digest: u64, change: impl FnOnce(&mut ServerSum)) {
+    fn change_server(&mut self, digest: u64, change: impl FnOnce(&mut ServerTotals)) {
         let sum = self.servers.entry(digest).or_default();
         change(sum);
-        if *sum == ServerSum::default() {
+        if *sum == ServerTotals::default() {
             self.servers.remove(&digest);
         }
     }
 
-    fn change_service(&mut self, digest: u64, change: impl FnOnce(&mut ServiceSum)) {
+    fn change_service(&mut self, digest: u64, change: impl FnOnce(&mut ServiceTotals)) {
         let sum = self.services.entry(digest).or_default();
         change(sum);
-        if *sum == ServiceSum::default() {
+        if *sum == ServiceTotals::default() {
             self.services.remove(&digest);
         }
     }
--- a/crates/gateway/src/cluster/peer_update.rs
+++ b/crates/gateway/src/cluster/peer_update.rs
@@ -28,7 +28,7 @@
     /// two at the slowest of one each 250 ms, so that a lost datagram changes
     /// nothing. Work of a peer that died ends with its connections, within about as
     /// long. Far ones are told three times in their report's life.
-    pub fn report_life(self) -> Duration {
+    pub fn report_lifetime(self) -> Duration {
         match self {
             PeerReach::Near => Duration::from_millis(600),
             PeerReach::Far => Duration::from_millis(3200),
@@ -58,7 +58,7 @@
 
 impl PeerUpdate {
     /// The peer's line for the service with `digest`.
-    pub fn line(&self, digest: u64) -> Option<QueueUpdate> {
-        self.lines.iter().find(|(service, _)| *service == digest).map(|(_, line)| *line)
+    pub fn queue(&self, digest: u64) -> Option<QueueUpdate> {
+        self.lines.iter().find(|(service, _)| *service == digest).map(|(_, queue)| *queue)
     }
 }
--- a/crates/gateway/src/cluster/table_readers.rs
+++ b/crates/gateway/src/cluster/table_readers.rs
@@ -9,29 +9,29 @@
 
 /// Gateways that read a table for all: two may die or be cut off at once, and
 /// the others still know within a report.
-const READERS: usize = 3;
+const TARGET_READERS: usize = 3;
 /// With fewer other gateways than this each reads for itself: three of eight
 /// reading twice as often save little.
 const MIN_PEERS: usize = 8;
 /// The part of a table's bound for which another's reading counts as fresh.
 /// What is left is for a read of one's own: a call may wait 0.9 s for its
 /// answer, and bounds are two seconds or more.
-const FRESH_PART: f64 = 0.5;
-/// The part of the bound over which gateways that nobody tells any more spread
+const FRESH_FRACTION: f64 = 0.5;
+/// The part of the bound over which gateways that nobody sends_rows any more spread
 /// their first reads: the first of them tell the others.
-const SPREAD_PART: f64 = 0.1;
+const FALLBACK_SPREAD_FRACTION: f64 = 0.1;
 /// How long a gateway leaves it to each one before it to step in for a missing
 /// reader: a read and a report take some 30 ms.
-const STEP_IN_PAUSE: Duration = Duration::from_millis(150);
+const TAKEOVER_DELAY: Duration = Duration::from_millis(150);
 /// How much longer a gateway leaves it to others for which reading takes much of its
 /// link.
-const HEAVY_PAUSE: Duration = Duration::from_millis(400);
+const HEAVY_LINK_DELAY: Duration = Duration::from_millis(400);
 /// Over this time gateways step in for readers for which it is heavier.
-const RELIEF_TIME: Duration = Duration::from_secs(3);
+const RELIEF_WINDOW: Duration = Duration::from_secs(3);
 /// The longest time until a gateway that is told looks again.
-const LOOK_PAUSE: Duration = Duration::from_millis(300);
+const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One gateway's own reading of a table, as it tells the others.
+/// One gateway's own reading of a table, as it sends_rows the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReaderNotice {
     pub fingerprint: TableFingerprint,
@@ -47,16 +47,16 @@
     /// Other gateways heard.
     pub peers: usize,
     /// Those of them with a lesser digest.
-    pub before: usize,
+    pub peers_before: usize,
 }
 
 /// What a gateway does next about a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRole {
     /// It reads the store, for itself or for all.
-    Own,
+    Reader,
     /// What others tell holds; it looks again then.
-    Told { until: Instant },
+    Listener { until: Instant },
 }
 
 /// Who reads one table, as one gateway sees it.
@@ -67,7 +67,7 @@
 /// so frozen, cut off or lying readers cost calls and delay within the bound.
 #[derive(Debug)]
 pub struct TableReaders {
-    own: u64,
+    local: u64,
     /// How soon a change must be known.
     bound: Duration,
     notices: FxHashMap<u64, ReaderNotice>,
@@ -80,32 +80,32 @@
     /// True while this gateway reads for all.
     is_reader: bool,
     /// Since when there have been too few readers.
-    short_since: Option<Instant>,
+    shortage_since: Option<Instant>,
     /// True where reading takes much of this gateway's link: others should.
     is_heavy: bool,
     /// From 0 to 1; spreads gateways that fall back to reading.
-    draw: f64,
+    jitter: f64,
 }
 
 impl TableReaders {
     /// The roster at the gateway with digest `own`, that has read nothing yet.
-    pub fn new(own: u64, bound: Duration, draw: f64) -> Self {
+    pub fn new(local: u64, bound: Duration, jitter: f64) -> Self {
         TableReaders {
-            own,
+            local,
             bound,
             notices: FxHashMap::default(),
             fingerprint: 0,
             known_at: None,
             read_at: None,
             is_reader: true,
-            short_since: None,
+            shortage_since: None,
             is_heavy: false,
-            draw,
+            jitter,
         }
     }
 
     /// The store has answered a read of our own.
-    pub fn note_read(&mut self, fingerprint: TableFingerprint, now: Instant) {
+    pub fn record_read(&mut self, fingerprint: TableFingerprint, now: Instant) {
         self.fingerprint = fingerprint;
         self.known_at = Some(now);
         self.read_at = Some(now);
@@ -120,13 +120,13 @@
     }
 
     /// A read of our own failed: another may be better placed to read for all.
-    pub fn note_failed(&mut self) {
+    pub fn record_failure(&mut self) {
         self.is_reader = false;
-        self.short_since = None;
+        self.shortage_since = None;
     }
 
     /// What another gateway told has been taken in.
-    pub fn note_told(&mut self, fingerprint: TableFingerprint) {
+    pub fn record_peer_rows(&mut self, fingerprint: TableFingerprint) {
         self.fingerprint = fingerprint;
         for notice in self.notices.values() {
             if notice.fingerprint == fingerprint {
@@ -136,7 +136,7 @@
     }
 
     /// The gateway with digest `peer` has read the store.
-    pub fn hear(&mut self, peer: u64, notice: ReaderNotice) {
+    pub fn apply_peer_notice(&mut self, peer: u64, notice: ReaderNotice) {
         self.notices.insert(peer, notice);
         if notice.fingerprint == self.fingerprint && self.known_at.is_some() {
             self.known_at = self.known_at.max(Some(notice.read_at));
@@ -144,60 +144,62 @@
     }
 
     /// What to do now.
-    pub fn turn(&mut self, rank: ReaderRank, now: Instant) -> ReadRole {
-        let fresh_time = self.fresh_time();
-        self.notices.retain(|_, notice| is_within(notice.read_at, fresh_time, now));
-        let Some(known_at) = self.known_at else { return self.read_for_all() };
-        let lapses_at = known_at + fresh_time + self.bound.mul_f64(SPREAD_PART * self.draw);
-        if rank.peers < MIN_PEERS || now >= lapses_at {
-            return self.read_for_all();
+    pub fn role(&mut self, rank: ReaderRank, now: Instant) -> ReadRole {
+        let freshness_window = self.freshness_window();
+        self.notices.retain(|_, notice| is_within(notice.read_at, freshness_window, now));
+        let Some(known_at) = self.known_at else { return self.become_reader() };
+        let expires_at = known_at
+            + freshness_window
+            + self.bound.mul_f64(FALLBACK_SPREAD_FRACTION * self.jitter);
+        if rank.peers < MIN_PEERS || now >= expires_at {
+            return self.become_reader();
         }
         if self.is_reader {
-            if self.before() < READERS {
-                return ReadRole::Own;
+            if self.readers_before() < TARGET_READERS {
+                return ReadRole::Reader;
             }
             self.is_reader = false;
         }
-        let light = self.notices.values().filter(|notice| !notice.is_heavy).count();
-        let has_enough = self.notices.len() >= READERS;
-        if has_enough && (self.is_heavy || light >= READERS) {
-            self.short_since = None;
+        let light_readers = self.notices.values().filter(|notice| !notice.is_heavy).count();
+        let has_enough = self.notices.len() >= TARGET_READERS;
+        if has_enough && (self.is_heavy || light_readers >= TARGET_READERS) {
+            self.shortage_since = None;
         } else {
-            let since = *self.short_since.get_or_insert(now);
-            let patience = match (has_enough, self.is_heavy) {
+            let since = *self.shortage_since.get_or_insert(now);
+            let delay = match (has_enough, self.is_heavy) {
                 // There are readers, for whom it is heavier.
-                (true, _) => RELIEF_TIME.mul_f64(self.draw),
-                (false, false) => STEP_IN_PAUSE * (rank.before as u32 + 1),
-                (false, true) => HEAVY_PAUSE + STEP_IN_PAUSE * (rank.before as u32 + 1),
+                (true, _) => RELIEF_WINDOW.mul_f64(self.jitter),
+                (false, false) => TAKEOVER_DELAY * (rank.peers_before as u32 + 1),
+                (false, true) => HEAVY_LINK_DELAY + TAKEOVER_DELAY * (rank.peers_before as u32 + 1),
             };
-            if now >= since + patience {
-                return self.read_for_all();
+            if now >= since + delay {
+                return self.become_reader();
             }
         }
-        ReadRole::Told { until: lapses_at.min(now + LOOK_PAUSE) }
+        ReadRole::Listener { until: expires_at.min(now + POLL_INTERVAL) }
     }
 
     /// True when this gateway is one of the few that tell all others of rows.
-    pub fn tells(&self, now: Instant) -> bool {
-        self.own_notice(now).is_some() && self.before() < READERS
+    pub fn sends_rows(&self, now: Instant) -> bool {
+        self.local_notice(now).is_some() && self.readers_before() < TARGET_READERS
     }
 
     /// Other readers that should read rather than this one.
-    fn before(&self) -> usize {
-        let own = (self.is_heavy, self.own);
-        let is_before = |(peer, of): &(&u64, &ReaderNotice)| (of.is_heavy, **peer) < own;
+    fn readers_before(&self) -> usize {
+        let local = (self.is_heavy, self.local);
+        let is_before = |(peer, notice): &(&u64, &ReaderNotice)| (notice.is_heavy, **peer) < local;
         self.notices.iter().filter(is_before).count()
     }
 
     /// What the others are told, while this gateway reads for all.
-    pub fn own_notice(&self, now: Instant) -> Option<ReaderNotice> {
-        let read_at = self.read_at.filter(|at| is_within(*at, self.fresh_time(), now))?;
+    pub fn local_notice(&self, now: Instant) -> Option<ReaderNotice> {
+        let read_at = self.read_at.filter(|at| is_within(*at, self.freshness_window(), now))?;
         let (fingerprint, is_heavy) = (self.fingerprint, self.is_heavy);
         self.is_reader.then_some(ReaderNotice { fingerprint, read_at, is_heavy })
     }
 
     /// Other gateways that have lately told of a read of theirs.
-    pub fn readers(&self) -> usize {
+    pub fn peer_readers(&self) -> usize {
         self.notices.len()
     }
 
@@ -212,14 +214,14 @@
         rank.peers >= MIN_PEERS
     }
 
-    fn read_for_all(&mut self) -> ReadRole {
+    fn become_reader(&mut self) -> ReadRole {
         self.is_reader = true;
-        self.short_since = None;
-        ReadRole::Own
+        self.shortage_since = None;
+        ReadRole::Reader
     }
 
-    fn fresh_time(&self) -> Duration {
-        self.bound.mul_f64(FRESH_PART)
+    fn freshness_window(&self) -> Duration {
+        self.bound.mul_f64(FRESH_FRACTION)
     }
 }
 
--- a/crates/gateway/src/cluster/table_row_set.rs
+++ b/crates/gateway/src/cluster/table_row_set.rs
@@ -10,16 +10,16 @@
 /// A digest of a whole table's content, whatever the order of its rows.
 pub type TableFingerprint = u64;
 
-/// Rows that are gone which are remembered at most; far more than change within
+/// Rows that are deleted which are remembered at most; far more than change within
 /// the store's history. Without a bound a process that never lists the table
 /// again would keep each server that ever left.
-const MAX_GONE: usize = 1024;
+const MAX_DELETED_ROWS: usize = 1024;
 
 /// What is known of one row.
 #[derive(Debug, Clone, Copy)]
 struct KnownRow {
     version: StoreVersion,
-    /// `None` once the row is gone: an older row of it that comes late does not
+    /// `None` once the row is deleted: an older row of it that comes late does not
     /// bring it back.
     digest: Option<RowDigest>,
 }
@@ -33,52 +33,52 @@
 pub struct TableRowSet {
     rows: FxHashMap<String, KnownRow>,
     /// Invariant: the exclusive or of the digests of all rows that are there,
-    /// each mixed with its key's.
+    /// each keyed_digest with its key's.
     fingerprint: TableFingerprint,
-    /// Rows in `rows` that are gone, about.
-    gone: usize,
+    /// Rows in `rows` that are deleted, about.
+    deleted: usize,
 }
 
 impl TableRowSet {
-    /// Takes in a row, gone if `digest` is `None`; true when it says something
+    /// Takes in a row, deleted if `digest` is `None`; true when it says something
     /// new, false when it is older than the one known or says the same.
-    pub fn note(&mut self, key: &str, version: StoreVersion, digest: Option<RowDigest>) -> bool {
+    pub fn record(&mut self, key: &str, version: StoreVersion, digest: Option<RowDigest>) -> bool {
         let known = self.rows.get(key).copied();
         if known.is_some_and(|known| known.version > version) {
             return false;
         }
         self.rows.insert(key.to_owned(), KnownRow { version, digest });
-        self.gone += usize::from(digest.is_none());
-        if self.gone > MAX_GONE {
+        self.deleted += usize::from(digest.is_none());
+        if self.deleted > MAX_DELETED_ROWS {
             self.rows.retain(|_, row| row.digest.is_some());
-            self.gone = 0;
+            self.deleted = 0;
         }
-        let before = known.and_then(|known| known.digest);
-        if before == digest {
+        let previous = known.and_then(|known| known.digest);
+        if previous == digest {
             return false;
         }
-        for part in [before, digest].into_iter().flatten() {
-            self.fingerprint ^= mixed(key, part);
+        for row_digest in [previous, digest].into_iter().flatten() {
+            self.fingerprint ^= keyed_digest(key, row_digest);
         }
         true
     }
 
-    /// Takes in a whole listing as of `version`; the keys of rows that are gone.
+    /// Takes in a whole listing as of `version`; the keys of rows that are deleted.
     pub fn replace<'a>(
         &mut self,
         rows: impl Iterator<Item = (&'a str, StoreVersion, RowDigest)>,
         version: StoreVersion,
     ) -> Vec<String> {
-        let mut before = std::mem::take(self);
-        for (key, at, digest) in rows {
-            before.rows.remove(key);
-            self.note(key, at, Some(digest));
+        let mut previous = std::mem::take(self);
+        for (key, row_version, digest) in rows {
+            previous.rows.remove(key);
+            self.record(key, row_version, Some(digest));
         }
-        let is_gone = |row: &KnownRow| row.digest.is_some() && row.version <= version;
-        before.rows.into_iter().filter(|(_, row)| is_gone(row)).map(|(key, _)| key).collect()
+        let is_deleted = |row: &KnownRow| row.digest.is_some() && row.version <= version;
+        previous.rows.into_iter().filter(|(_, row)| is_deleted(row)).map(|(key, _)| key).collect()
     }
 
-    /// Rows remembered, those that are gone included.
+    /// Rows remembered, those that are deleted included.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
@@ -94,6 +94,6 @@
     }
 }
 
-fn mixed(key: &str, digest: RowDigest) -> u64 {
+fn keyed_digest(key: &str, digest: RowDigest) -> u64 {
     umberglade_wire::digest_seeded(key.as_bytes(), digest)
 }
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -35,7 +35,7 @@
         if version > own {
             *self.config_source.lock().expect("config source lock") = Some((address, version));
         }
-        if !self.with_config_watch(|watch| watch.hear(version, own)) {
+        if !self.with_config_watch(|watch| watch.apply_peer_version(version, own)) {
             return;
         }
         tracing::info!(
@@ -63,7 +63,7 @@
 
     /// Has the configuration read at once, unless that was asked for a moment ago.
     pub fn ask_for_config(&self) {
-        if self.with_config_watch(|watch| watch.may_ask(Instant::now())) {
+        if self.with_config_watch(|watch| watch.may_request_read(Instant::now())) {
             self.config_due.notify(usize::MAX);
         }
     }
@@ -85,10 +85,10 @@
     ) -> bool {
         let version = table.version;
         let known = self.table();
-        let change = self.with_in_force(|in_force| in_force.offer(row_version, table));
+        let change = self.with_in_force(|in_force| in_force.apply_if_newer(row_version, table));
         let before = match change {
             InForceChange::Applied { before } => before.unwrap_or(0),
-            InForceChange::Old { current } => {
+            InForceChange::NotNewer { current } => {
                 tracing::debug!(
                     event = events::CONFIG_IGNORED,
                     version,
@@ -121,7 +121,7 @@
 
     /// The configuration in force was the newest at `at`.
     pub fn note_config_fresh(&self, at: Instant) {
-        self.with_config_watch(|watch| watch.note_fresh(at));
+        self.with_config_watch(|watch| watch.record_fresh(at));
     }
 }
 
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -10,7 +10,7 @@
 use super::probe_guard::ProbeGuard;
 use super::send_permit::SendPermit;
 use crate::cluster::QuarantineStatus;
-use crate::cluster::RetryVerdict;
+use crate::cluster::RetryPriority;
 use crate::events;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
@@ -92,7 +92,7 @@
             log_held(call, held, self.sends, "not sent again");
             return None;
         }
-        if self.unsent < self.sends && !state.spend_retry(&call.service, RetryVerdict::Needed) {
+        if self.unsent < self.sends && !state.spend_retry(&call.service, RetryPriority::Needed) {
             metrics::counter!("umberglade_retries_denied_total").increment(1);
             tracing::info!(
                 event = events::RETRY_DENIED,
@@ -115,7 +115,7 @@
             return None;
         }
         if std::mem::replace(&mut self.has_sent_prompt, true) {
-            let is_allowed = state.spend_retry(&call.service, RetryVerdict::Helpful);
+            let is_allowed = state.spend_retry(&call.service, RetryPriority::Helpful);
             return is_allowed.then(|| SendPermit::counted(state, &call.service));
         }
         Some(SendPermit::first_prompt(state, &call.service))
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -202,7 +202,7 @@
         waiting,
         waiting_elsewhere = others.waiting,
         pace_elsewhere = others.pace,
-        gateways_heard = fleet.peers.heard(now),
+        gateways_heard = fleet.peers.fresh_count(now),
         predicted_ms = predicted.as_millis() as u64,
         waited_ms = call.age_ms(),
         "no room at any engine"
@@ -252,7 +252,7 @@
         let line = state.service_queues.with_line(&call.service, |line| line.news(now));
         let fleet = state.fleet();
         let service = server_digest(&call.service);
-        let ahead = line.map_or(0, |line| fleet.peers.waiting_before(service, &line, now));
+        let ahead = line.map_or(0, |line| fleet.peers.queued_ahead(service, &line, now));
         place_engine(&fleet, spec, shape, ahead, &need(state, call, &[]))?
     };
     log_placed(state, call, &decode, prefill.as_ref(), 0, cost);
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -77,7 +77,8 @@
 
 fn is_ours(state: &GatewayState, now: Instant) -> bool {
     let fleet = state.fleet();
-    fleet.store_calm(now) >= CALM_TIME && fleet.peers.is_first(state.digest, CALM_TIME, now)
+    fleet.store_calm(now) >= CALM_TIME
+        && fleet.peers.is_leader_candidate(state.digest, CALM_TIME, now)
 }
 
 async fn act<C: PlatformCodec>(
--- a/crates/gateway/src/peers/peer_registry.rs
+++ b/crates/gateway/src/peers/peer_registry.rs
@@ -12,9 +12,9 @@
 #[derive(Debug, Default)]
 pub struct PeerGroups {
     /// Those of the same shard.
-    pub near: Vec<SocketAddr>,
-    /// The others, sorted.
-    pub far: Vec<SocketAddr>,
+    pub local_shard: Vec<SocketAddr>,
+    /// The addresses_except, sorted.
+    pub remote: Vec<SocketAddr>,
 }
 
 /// Where one gateway hears reports.
@@ -54,27 +54,27 @@
     }
 
     /// The addresses of all gateways but `own`.
-    pub fn others(&self, own: &str) -> Vec<SocketAddr> {
+    pub fn addresses_except(&self, local: &str) -> Vec<SocketAddr> {
         let entries = self.entries();
-        entries.iter().filter(|(peer, _)| *peer != own).map(|(_, of)| of.address).collect()
+        entries.iter().filter(|(peer, _)| *peer != local).map(|(_, entry)| entry.address).collect()
     }
 
     /// The addresses of all gateways but `own`, by whether they share its one of
     /// `shards`.
-    pub fn groups(&self, own: &str, shards: u64) -> PeerGroups {
+    pub fn groups(&self, local: &str, shards: u64) -> PeerGroups {
         if shards == 1 {
-            return PeerGroups { near: self.others(own), far: Vec::new() };
+            return PeerGroups { local_shard: self.addresses_except(local), remote: Vec::new() };
         }
-        let own_digest = server_digest(own);
+        let local_digest = server_digest(local);
         let mut groups = PeerGroups::default();
-        for (_, entry) in self.entries().iter().filter(|(peer, _)| *peer != own) {
-            if shares_shard(own_digest, entry.digest, shards) {
-                groups.near.push(entry.address);
+        for (_, entry) in self.entries().iter().filter(|(peer, _)| *peer != local) {
+            if shares_shard(local_digest, entry.digest, shards) {
+                groups.local_shard.push(entry.address);
             } else {
-                groups.far.push(entry.address);
+                groups.remote.push(entry.address);
             }
         }
-        groups.far.sort_unstable();
+        groups.remote.sort_unstable();
         groups
     }
 
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -13,10 +13,10 @@
 use super::PeerRegistry;
 use super::RemotePeerCycle;
 use super::SendBudget;
-use crate::cluster::FAR_PACE;
 use crate::cluster::PeerReach;
 use crate::cluster::PeerUpdate;
-use crate::cluster::READER_PACE;
+use crate::cluster::READER_REPORT_INTERVAL;
+use crate::cluster::REMOTE_REPORT_INTERVAL;
 use crate::cluster::report_interval;
 use crate::cluster::server_digest;
 use crate::events;
@@ -26,48 +26,53 @@
 
 /// The largest datagram sent: some 300 servers with work.
 pub(super) const MAX_DATAGRAM: usize = 8 * 1024;
-/// How often what was learned of engines is told: some 80 bytes a service, and
+/// How often what was learned of engines is recipients: some 80 bytes a service, and
 /// slow to change.
-const TELL_LEARNED_EVERY: Duration = Duration::from_secs(2);
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// A gateway's first reports, by which others also see that it has just begun and tell
 /// it at once what they tell rarely; the first may be lost.
-const FIRST_REPORTS: u64 = 2;
+const STARTUP_REPORTS: u64 = 2;
 /// Between two log lines on datagrams that are no reports: anything on the
 /// network may send any number of them.
-const UNREADABLE_PAUSE: Duration = Duration::from_secs(10);
+const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Reports our work to the gateways in `book`, for good: regularly, and at
+/// Reports our work to the gateways in `registry`, for good: regularly, and at
 /// once when a stream begins, ends or waits.
 ///
 /// Guards against gateways that choose the same engine's last place: with a
 /// view 200 ms old, 79 of them had a third of their streams refused.
-pub async fn send_reports(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
+pub async fn send_reports(
+    state: Arc<GatewayState>,
+    registry: Arc<PeerRegistry>,
+    socket: UdpSocket,
+) {
     let incarnation = fastrand::u64(..);
     let mut budget = SendBudget::new(Instant::now());
     let mut remote_peer_cycle = RemotePeerCycle::new(Instant::now());
-    let mut learning_due = Instant::now();
+    let mut full_report_due = Instant::now();
     for sequence in 1.. {
         let changed = state.work_changed.listen();
         let shards = state.fleet().peer_shards();
-        let PeerGroups { near, .. } = book.groups(&state.settings.instance, shards);
-        let due = Instant::now() + report_interval(near.len());
+        let PeerGroups { local_shard, .. } = registry.groups(&state.settings.instance, shards);
+        let due = Instant::now() + report_interval(local_shard.len());
         if by_deadline(due, changed).await.is_some() {
-            smol::Timer::at(budget.send_at(near.len(), due, Instant::now())).await;
+            smol::Timer::at(budget.send_at(local_shard.len(), due, Instant::now())).await;
         }
         let newcomers = std::mem::take(&mut *state.newcomers.lock().expect("newcomers lock"));
-        // Chosen again, since a gateway may have been added to the book during the wait.
-        let PeerGroups { near, far } = book.groups(&state.settings.instance, shards);
-        let tells_learned = !newcomers.is_empty() || Instant::now() >= learning_due;
-        if tells_learned {
-            learning_due = Instant::now() + TELL_LEARNED_EVERY;
+        // Chosen again, since a gateway may have been added to the registry during the wait.
+        let PeerGroups { local_shard, remote } = registry.groups(&state.settings.instance, shards);
+        let is_full = !newcomers.is_empty() || Instant::now() >= full_report_due;
+        if is_full {
+            full_report_due = Instant::now() + FULL_REPORT_INTERVAL;
         }
-        let report = report(&state, incarnation, sequence, tells_learned, &newcomers);
-        let pace = if report.tables.is_empty() { FAR_PACE } else { READER_PACE };
-        let told = remote_peer_cycle.next(&far, pace, Instant::now());
-        let far_report = (!told.is_empty()).then(|| only_for_all(&report, &state));
-        send(&socket, report, &near).await;
-        if let Some(report) = far_report {
-            send(&socket, report, &told).await;
+        let report = report(&state, incarnation, sequence, is_full, &newcomers);
+        let interval =
+            if report.tables.is_empty() { REMOTE_REPORT_INTERVAL } else { READER_REPORT_INTERVAL };
+        let recipients = remote_peer_cycle.next(&remote, interval, Instant::now());
+        let report_for_remote = (!recipients.is_empty()).then(|| remote_report(&report, &state));
+        send(&socket, report, &local_shard).await;
+        if let Some(report) = report_for_remote {
+            send(&socket, report, &recipients).await;
         }
     }
 }
@@ -89,7 +94,7 @@
 }
 
 /// `report` for gateways of other shards: without what only concerns its own.
-pub fn only_for_all(report: &LoadReport, state: &GatewayState) -> LoadReport {
+pub fn remote_report(report: &LoadReport, state: &GatewayState) -> LoadReport {
     let now = Instant::now();
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
     // statement ends, so a second call in the same statement would deadlock.
@@ -122,7 +127,7 @@
     state: &GatewayState,
     incarnation: u64,
     sequence: u64,
-    tells_learned: bool,
+    is_full: bool,
     newcomers: &[u64],
 ) -> LoadReport {
     let now = Instant::now();
@@ -131,9 +136,9 @@
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
     let store_calm = state.fleet().store_calm(now);
-    let limits = state.fleet().limits.news(tells_learned, now);
-    let departures = state.fleet().departures.news(tells_learned, now);
-    let backoffs = state.fleet().backoff_update(tells_learned, newcomers, now);
+    let limits = state.fleet().limits.news(is_full, now);
+    let departures = state.fleet().departures.news(is_full, now);
+    let backoffs = state.fleet().backoff_update(is_full, newcomers, now);
     LoadReport {
         reach: PeerReach::Near,
         peer: state.settings.instance.clone(),
@@ -145,12 +150,12 @@
         aside,
         lines: state.service_queues.own_lines(now),
         changing,
-        learned: tells_learned.then(|| state.own_learning()),
+        learned: is_full.then(|| state.own_learning()),
         config: state.config_version(),
         tables: state.readings.notices(now),
-        charges: state.quotas.news(tells_learned),
+        charges: state.quotas.news(is_full),
         age_ms: state.age().as_millis() as u64,
-        outcomes: state.quarantines.news(tells_learned),
+        outcomes: state.quarantines.news(is_full),
         limits,
         departures,
         backoffs,
@@ -158,18 +163,22 @@
 }
 
 /// Takes in the other gateways' reports, for good.
-pub async fn hear_reports(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
+pub async fn receive_reports(
+    state: Arc<GatewayState>,
+    registry: Arc<PeerRegistry>,
+    socket: UdpSocket,
+) {
     let mut buffer = vec![0; MAX_DATAGRAM];
-    let mut unreadable = UnreadableLog::default();
+    let mut malformed = MalformedLog::default();
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, peer)) => match postcard::from_bytes(&buffer[..length]) {
                 Ok(PeerMessage::Rows(rows)) => state.readings.hear_rows(rows),
                 Ok(PeerMessage::Load(report)) => {
-                    learn_peer(&state, &book, &report.peer, peer);
-                    take_report(&state, *report, peer);
+                    add_peer(&state, &registry, &report.peer, peer);
+                    apply_report(&state, *report, peer);
                 }
-                Err(error) => unreadable.note(peer, length, &error),
+                Err(error) => malformed.record(peer, length, &error),
             },
             Err(error) => {
                 tracing::debug!(%error, "receiving a load report");
@@ -179,19 +188,19 @@
     }
 }
 
-/// Logs datagrams that are no reports, each [`UNREADABLE_PAUSE`] at most.
+/// Logs datagrams that are no reports, each [`MALFORMED_LOG_INTERVAL`] at most.
 #[derive(Debug, Default)]
-struct UnreadableLog {
+struct MalformedLog {
     /// Since the last line.
     ignored: u64,
     logged_at: Option<Instant>,
 }
 
-impl UnreadableLog {
-    fn note(&mut self, peer: SocketAddr, bytes: usize, error: &postcard::Error) {
+impl MalformedLog {
+    fn record(&mut self, peer: SocketAddr, bytes: usize, error: &postcard::Error) {
         metrics::counter!("umberglade_reports_bad_total").increment(1);
         self.ignored += 1;
-        if self.logged_at.is_some_and(|at| at.elapsed() < UNREADABLE_PAUSE) {
+        if self.logged_at.is_some_and(|at| at.elapsed() < MALFORMED_LOG_INTERVAL) {
             return;
         }
         let ignored = self.ignored;
@@ -201,22 +210,22 @@
     }
 }
 
-/// A gateway that is not in the book yet gets reports from now on: the table of
+/// A gateway that is not in the registry yet gets reports from now on: the table of
 /// gateways is read rarely.
-fn learn_peer(state: &GatewayState, book: &PeerRegistry, peer: &str, address: SocketAddr) {
-    if peer != state.settings.instance && book.insert(peer, address) {
-        state.set_members(book.len());
+fn add_peer(state: &GatewayState, registry: &PeerRegistry, peer: &str, address: SocketAddr) {
+    if peer != state.settings.instance && registry.insert(peer, address) {
+        state.set_members(registry.len());
     }
 }
 
-fn take_report(state: &GatewayState, report: LoadReport, address: SocketAddr) {
+fn apply_report(state: &GatewayState, report: LoadReport, address: SocketAddr) {
     let is_known = state.fleet().peers.has_report(&report.peer, report.incarnation);
-    if report.sequence <= FIRST_REPORTS || !is_known {
+    if report.sequence <= STARTUP_REPORTS || !is_known {
         let digest = server_digest(&report.peer);
         state.newcomers.lock().expect("newcomers lock").push(digest);
         state.work_changed.notify(1);
     }
-    let news = PeerUpdate {
+    let update = PeerUpdate {
         reach: report.reach,
         loads: report.loads,
         retries: report.retries,
@@ -233,9 +242,9 @@
         let age = Duration::from_millis(report.age_ms);
         state.quotas.hear(digest, report.incarnation, age, &report.charges, &view);
     }
-    state.fleet().peers.note(&report.peer, report.incarnation, report.sequence, news, now);
+    state.fleet().peers.record(&report.peer, report.incarnation, report.sequence, update, now);
     if let Some(learned) = report.learned {
-        state.fleet().peers.learn(&report.peer, learned, now);
+        state.fleet().peers.record_estimates(&report.peer, learned, now);
     }
     state.hear_config(&report.peer, address, report.config);
     for notice in report.tables {
@@ -245,17 +254,17 @@
         }
         state.readings.hear_notice(&report.peer, notice, now);
     }
-    for news in report.limits {
-        state.hear_limit(news);
+    for update in report.limits {
+        state.hear_limit(update);
     }
-    for news in report.backoffs {
-        state.hear_backoff(news);
+    for update in report.backoffs {
+        state.hear_backoff(update);
     }
     for server in report.departures {
         state.hear_departure(server);
     }
-    for news in report.outcomes {
-        state.quarantines.hear(news);
+    for update in report.outcomes {
+        state.quarantines.hear(update);
     }
     state.room.notify(usize::MAX);
 }
--- a/crates/gateway/src/peers/row_loop.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -11,15 +11,15 @@
 use crate::state::GatewayState;
 
 /// The room in a datagram for rows: what is left frames them.
-const ROOM: usize = MAX_DATAGRAM - 64;
+const MAX_ROWS_BYTES: usize = MAX_DATAGRAM - 64;
 
-/// Tells the gateways in `book` of rows that this one has read for all, for
+/// Tells the gateways in `registry` of rows that this one has read for all, for
 /// good.
-pub async fn send_rows(state: Arc<GatewayState>, book: Arc<PeerRegistry>, socket: UdpSocket) {
+pub async fn send_rows(state: Arc<GatewayState>, registry: Arc<PeerRegistry>, socket: UdpSocket) {
     loop {
-        let told = state.readings.next_rows().await;
-        let peers = book.others(&state.settings.instance);
-        for datagram in datagrams(told) {
+        let rows_read = state.readings.next_rows().await;
+        let peers = registry.addresses_except(&state.settings.instance);
+        for datagram in datagrams(rows_read) {
             for address in &peers {
                 // A lost one shows by the fingerprint in the next report.
                 let _ = socket.send_to(&datagram, address).await;
@@ -30,19 +30,19 @@
     }
 }
 
-/// `told` in as many datagrams as it takes. A row that fits none is left out:
+/// `rows_read` in as many datagrams as it takes. A row that fits none is left out:
 /// the others see by the fingerprint that they lack it.
-fn datagrams(told: TableRows) -> Vec<Vec<u8>> {
-    let table = told.table;
+fn datagrams(rows_read: TableRows) -> Vec<Vec<u8>> {
+    let table = rows_read.table;
     let mut datagrams = Vec::new();
     let mut rows = Vec::new();
     let mut bytes = 0;
-    for row in told.rows {
+    for row in rows_read.rows {
         let size = postcard::to_allocvec(&row).expect("encoding plain fields").len();
-        if size > ROOM {
+        if size > MAX_ROWS_BYTES {
             continue;
         }
-        if bytes + size > ROOM {
+        if bytes + size > MAX_ROWS_BYTES {
             datagrams.push(encode(TableRows { table, rows: std::mem::take(&mut rows) }));
             bytes = 0;
         }
--- a/crates/gateway/src/peers/send_budget.rs
+++ b/crates/gateway/src/peers/send_budget.rs
@@ -18,14 +18,14 @@
 pub struct SendBudget {
     /// Invariant: never above [`BURST_REPORTS`] times the peers last asked
     /// for; below zero while a report that is paid for waits.
-    left: f64,
-    filled_at: Instant,
+    tokens: f64,
+    refilled_at: Instant,
 }
 
 impl SendBudget {
     /// An empty budget, filled from `now` on.
     pub fn new(now: Instant) -> Self {
-        SendBudget { left: 0.0, filled_at: now }
+        SendBudget { tokens: 0.0, refilled_at: now }
     }
 
     /// When `peers` are told of a change: now, or when the budget allows it,
@@ -36,17 +36,17 @@
     /// they are 400 datagrams a second by themselves, and each change was
     /// told 70 to 200 ms late.
     pub fn send_at(&mut self, peers: usize, due: Instant, now: Instant) -> Instant {
-        let elapsed = now.saturating_duration_since(self.filled_at).as_secs_f64();
-        self.filled_at = now;
-        let most = BURST_REPORTS * peers as f64;
-        self.left = (self.left + elapsed * DATAGRAMS_PER_S).min(most);
-        let missing = (peers as f64 - self.left).max(0.0);
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = now;
+        let max_tokens = BURST_REPORTS * peers as f64;
+        self.tokens = (self.tokens + elapsed * DATAGRAMS_PER_S).min(max_tokens);
+        let missing = (peers as f64 - self.tokens).max(0.0);
         let at = now + Duration::from_secs_f64(missing / DATAGRAMS_PER_S);
         if at >= due {
             return due;
         }
         // Below zero until `at`, by when the datagrams sent have come back in.
-        self.left -= peers as f64;
+        self.tokens -= peers as f64;
         at
     }
 }
--- a/crates/gateway/src/quarantine/probe_claim.rs
+++ b/crates/gateway/src/quarantine/probe_claim.rs
@@ -52,5 +52,5 @@
 
 fn is_first(state: &GatewayState) -> bool {
     let rank = state.fleet().peers.rank(state.digest, Instant::now());
-    rank.before == 0
+    rank.peers_before == 0
 }
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use crate::cluster::FAR_PACE;
 use crate::cluster::QuotaView;
+use crate::cluster::REMOTE_REPORT_INTERVAL;
 use crate::cluster::report_interval;
 use crate::state::GatewayState;
 
@@ -35,8 +35,8 @@
     pub fn quota_view(&self) -> QuotaView {
         let now = Instant::now();
         let QuotaPeers { heard, hears_far, .. } = self.quota_peers(now);
-        let unheard_for = self.fleet().peers.unheard_for(now);
-        let pace = if hears_far { FAR_PACE } else { report_interval(heard) };
+        let unheard_for = self.fleet().peers.since_last_report(now);
+        let pace = if hears_far { REMOTE_REPORT_INTERVAL } else { report_interval(heard) };
         let report_age = pace + REPORT_DELAY;
         QuotaView {
             heard,
@@ -59,8 +59,8 @@
         }
         let peers = {
             let fleet = self.fleet();
-            let heard = fleet.peers.heard_within(QUOTA_PEER_LIFE, now);
-            QuotaPeers { counted_at: now, heard, hears_far: fleet.peers.hears_far(now) }
+            let heard = fleet.peers.reporting_within(QUOTA_PEER_LIFE, now);
+            QuotaPeers { counted_at: now, heard, hears_far: fleet.peers.has_remote_peer(now) }
         };
         *self.quota_peers.lock().expect("quota peers lock") = Some(peers);
         peers
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -93,11 +93,11 @@
     pool::spawn(register::<C>(Arc::clone(&state), Arc::clone(&book)));
     pool::spawn(peers::send_reports(Arc::clone(&state), Arc::clone(&book), socket.clone()));
     pool::spawn(peers::send_rows(Arc::clone(&state), Arc::clone(&book), socket.clone()));
-    pool::spawn(peers::hear_reports(Arc::clone(&state), book, socket));
+    pool::spawn(peers::receive_reports(Arc::clone(&state), book, socket));
     if let Some(copies) = copies {
-        pool::spawn(peers::serve_copies(Arc::clone(&state), copies));
+        pool::spawn(peers::serve_config(Arc::clone(&state), copies));
     }
-    pool::spawn(peers::take_copies(Arc::clone(&state)));
+    pool::spawn(peers::fetch_newer_configs(Arc::clone(&state)));
     pool::spawn(run_stage_controller::<C>(Arc::clone(&state)));
     pool::spawn(quarantine::keep_rows::<C>(Arc::clone(&state)));
     pool::spawn(tick(Arc::clone(&state)));
@@ -272,7 +272,7 @@
         state.log_changes(&changes, 0);
         state.pool.tick(now);
         let rank = state.fleet().peers.rank(state.digest, now);
-        state.quarantines.tick(rank.before == 0);
+        state.quarantines.tick(rank.peers_before == 0);
         state.quotas.tick(&state.quota_view());
         heard = log_peers(&state, heard, now);
         metrics::gauge!("umberglade_limited_servers").set(state.fleet().limits.in_force() as f64);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -21,7 +21,7 @@
 use crate::cluster::PeerQueues;
 use crate::cluster::RetryBudget;
 use crate::cluster::RetryCount;
-use crate::cluster::RetryVerdict;
+use crate::cluster::RetryPriority;
 use crate::cluster::ServerOutcome;
 use crate::cluster::server_digest;
 use crate::events;
@@ -138,27 +138,27 @@
 
     /// Counts a caller's request towards the retry allowance.
     pub fn note_request(&self, service: &ServiceName) {
-        self.retries.lock().expect("retries lock").note_request(service, Instant::now());
+        self.retries.lock().expect("retries lock").record_request(service, Instant::now());
     }
 
     /// Counts a send that a server of `service` rejected and that no allowance
     /// was asked for.
     pub fn note_repeat(&self, service: &ServiceName) {
-        self.retries.lock().expect("retries lock").note_repeat(service, Instant::now());
+        self.retries.lock().expect("retries lock").record_retry(service, Instant::now());
     }
 
     /// True when one repeated send to `service` may be made.
-    pub fn spend_retry(&self, service: &ServiceName, use_for: RetryVerdict) -> bool {
+    pub fn spend_retry(&self, service: &ServiceName, use_for: RetryPriority) -> bool {
         let now = Instant::now();
         let heard = self.fleet().peers.retries(server_digest(service), now);
         let members = self.members();
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.spend(service, members, heard, use_for, now)
+        retries.consume(service, members, heard, use_for, now)
     }
 
     /// This gateway's counts of requests and repeats, by service.
     pub fn own_retries(&self) -> Vec<(u64, RetryCount)> {
-        self.retries.lock().expect("retries lock").own_counts(Instant::now())
+        self.retries.lock().expect("retries lock").local_counts(Instant::now())
     }
 
     /// Notes how a send ended, and says so when the server is passed over.
@@ -207,7 +207,7 @@
 
     /// The lines for `service` at all other gateways.
     pub fn other_lines(&self, service: &ServiceName) -> PeerQueues {
-        self.fleet().peers.other_lines(server_digest(service), Instant::now())
+        self.fleet().peers.queues(server_digest(service), Instant::now())
     }
 
     /// What this gateway's own streams were like, for each service with engines;
@@ -224,7 +224,7 @@
     pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
         let own = self.service_queues.learned(service);
         let fleet = self.fleet();
-        let others = fleet.peers.learned(server_digest(service));
+        let others = fleet.peers.estimates(server_digest(service));
         EngineEstimates::pooled(others.chain([own]))
     }
 
--- a/crates/gateway/src/store/shared_reading.rs
+++ b/crates/gateway/src/store/shared_reading.rs
@@ -61,12 +61,12 @@
     /// The store has answered a read of our own.
     pub fn note_read(&self, fingerprint: u64) {
         *self.read_waking.lock().expect("read time lock") = waking_clock();
-        self.roster().note_read(fingerprint, Instant::now());
+        self.roster().record_read(fingerprint, Instant::now());
     }
 
     /// What a report says of this table, while this gateway reads for all.
     pub fn notice(&self, now: Instant) -> Option<TableNotice> {
-        let own = self.roster().own_notice(now)?;
+        let own = self.roster().local_notice(now)?;
         let read_waking = *self.read_waking.lock().expect("read time lock");
         let age = waking_clock().saturating_sub(read_waking);
         Some(TableNotice {
--- a/crates/gateway/src/store/shared_readings.rs
+++ b/crates/gateway/src/store/shared_readings.rs
@@ -58,7 +58,7 @@
         let Some(reading) = self.find(notice.table) else { return };
         let is_heavy = notice.is_heavy;
         let notice = ReaderNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
-        reading.roster().hear(server_digest(peer), notice);
+        reading.roster().apply_peer_notice(server_digest(peer), notice);
     }
 
     /// Another gateway has read rows that say something new.
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -132,8 +132,8 @@
     /// reads the store itself now.
     fn told_until(&mut self) -> Option<Instant> {
         match self.sharing.as_mut()?.turn() {
-            ReadRole::Own => None,
-            ReadRole::Told { until } => Some(until),
+            ReadRole::Reader => None,
+            ReadRole::Listener { until } => Some(until),
         }
     }
 
--- a/crates/gateway/src/store/table_sharing.rs
+++ b/crates/gateway/src/store/table_sharing.rs
@@ -61,8 +61,8 @@
     pub fn turn(&mut self) -> ReadRole {
         let now = Instant::now();
         let rank = self.rank(now);
-        let turn = self.reading().roster().turn(rank, now);
-        let is_told = turn != ReadRole::Own;
+        let turn = self.reading().roster().role(rank, now);
+        let is_told = turn != ReadRole::Reader;
         if is_told != self.is_told {
             self.is_told = is_told;
             self.log_turn(rank, now);
@@ -73,7 +73,7 @@
     fn log_turn(&self, rank: ReaderRank, now: Instant) {
         let (known_at, readers) = {
             let roster = self.reading().roster();
-            (roster.known_at(), roster.readers())
+            (roster.known_at(), roster.peer_readers())
         };
         let age = known_at.map(|at| now.saturating_duration_since(at));
         tracing::info!(
@@ -103,7 +103,7 @@
         let rows: Vec<StoreRow> =
             told.into_iter().filter(|row| note(&mut self.content, sink, row)).collect();
         if !rows.is_empty() {
-            self.reading().roster().note_told(self.content.fingerprint());
+            self.reading().roster().record_peer_rows(self.content.fingerprint());
         }
         rows
     }
@@ -141,7 +141,7 @@
 
     /// A call to the store failed.
     pub fn note_failed(&self) {
-        self.reading().roster().note_failed();
+        self.reading().roster().record_failure();
     }
 
     fn note_read(&mut self, news: Vec<StoreRow>) {
@@ -149,7 +149,7 @@
         self.reading().note_read(self.content.fingerprint());
         let since = *self.read_since.get_or_insert(now);
         let has_settled = now.saturating_duration_since(since) >= SETTLE_TIME;
-        let tells = has_settled && self.reading().roster().tells(now);
+        let tells = has_settled && self.reading().roster().sends_rows(now);
         if tells && !news.is_empty() && self.may_tell(&news) {
             self.state.readings.tell(self.table, news);
         }
@@ -176,5 +176,5 @@
 }
 
 fn note(content: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
-    content.note(&row.key, row.version, sink.digest(row))
+    content.record(&row.key, row.version, sink.digest(row))
 }
--- a/crates/gateway/tests/config_watch.rs
+++ b/crates/gateway/tests/config_watch.rs
@@ -12,7 +12,7 @@
     let steps = [(5, false), (4, false), (7, true), (7, false), (6, false), (9, true), (9, false)];
     let mut watch = ConfigWatch::default();
     for (version, is_read) in steps {
-        assert_eq!(watch.hear(version, 5), is_read, "version {version}");
+        assert_eq!(watch.apply_peer_version(version, 5), is_read, "version {version}");
     }
 }
 
@@ -20,7 +20,7 @@
     name: &'static str,
     /// When the configuration in force was the store's, in milliseconds before.
     fresh_ms: Option<u64>,
-    heard: u64,
+    reported: u64,
     is_newest: bool,
 }
 
@@ -29,13 +29,13 @@
 #[test]
 fn only_a_fresh_configuration_is_the_newest() {
     let cases = [
-        NewestCase { name: "never read", fresh_ms: None, heard: 0, is_newest: false },
-        NewestCase { name: "just read", fresh_ms: Some(100), heard: 7, is_newest: true },
-        NewestCase { name: "read long ago", fresh_ms: Some(3100), heard: 7, is_newest: false },
+        NewestCase { name: "never read", fresh_ms: None, reported: 0, is_newest: false },
+        NewestCase { name: "just read", fresh_ms: Some(100), reported: 7, is_newest: true },
+        NewestCase { name: "read long ago", fresh_ms: Some(3100), reported: 7, is_newest: false },
         NewestCase {
             name: "another has a newer one",
             fresh_ms: Some(100),
-            heard: 8,
+            reported: 8,
             is_newest: false,
         },
     ];
@@ -43,9 +43,9 @@
     let now = Instant::now() + Duration::from_secs(60);
     for case in cases {
         let mut watch = ConfigWatch::default();
-        watch.hear(case.heard, 7);
+        watch.apply_peer_version(case.reported, 7);
         if let Some(millis) = case.fresh_ms {
-            watch.note_fresh(now - Duration::from_millis(millis));
+            watch.record_fresh(now - Duration::from_millis(millis));
         }
         assert_eq!(watch.is_newest(7, bound, now), case.is_newest, "{}", case.name);
     }
@@ -53,9 +53,10 @@
 
 /// Guards against a read of the store for each of many unknown requests.
 #[test]
-fn reads_are_asked_for_with_pauses() {
+fn requested_reads_are_rate_limited() {
     let mut watch = ConfigWatch::default();
-    let begun = Instant::now();
-    let asked = (0..100).filter(|at| watch.may_ask(begun + Duration::from_millis(at * 10)));
-    assert_eq!(asked.count(), 4);
+    let started_at = Instant::now();
+    let granted =
+        (0..100).filter(|at| watch.may_request_read(started_at + Duration::from_millis(at * 10)));
+    assert_eq!(granted.count(), 4);
 }
--- a/crates/gateway/tests/engine_estimates.rs
+++ b/crates/gateway/tests/engine_estimates.rs
@@ -87,10 +87,10 @@
         bytes[..8].copy_from_slice(&case.told.to_le_bytes());
         let odd: EngineEstimates = postcard::from_bytes(&bytes).unwrap();
         let mut peers = PeerReports::default();
-        peers.learn("peer", vec![(SERVICE, odd)], Instant::now());
-        let taken = peers.learned(SERVICE).count() > 0;
+        peers.record_estimates("peer", vec![(SERVICE, odd)], Instant::now());
+        let taken = peers.estimates(SERVICE).count() > 0;
         assert_eq!(taken, case.is_taken, "{}", case.name);
-        let pool = EngineEstimates::pooled(peers.learned(SERVICE));
+        let pool = EngineEstimates::pooled(peers.estimates(SERVICE));
         assert!(pool.outputs.run_time(500) < Duration::from_secs(60), "{}", case.name);
     }
 }
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -269,7 +269,7 @@
                 PeerCalm(millis) => {
                     let store_calm = Duration::from_millis(millis);
                     let news = PeerUpdate { store_calm, ..PeerUpdate::default() };
-                    fleet.peers.note("peer", 1, 1, news, now);
+                    fleet.peers.record("peer", 1, 1, news, now);
                 }
                 Wait(millis) => {
                     now += Duration::from_millis(millis);
@@ -312,7 +312,7 @@
         aside: [earlier].into_iter().collect(),
         ..PeerUpdate::default()
     };
-    fleet.peers.note("peer", 1, 1, news, now);
+    fleet.peers.record("peer", 1, 1, news, now);
     let change = fleet.upsert(since(entry("a", false), 200), 2);
     assert_eq!(change, Some(FleetChange::Restarted("a".into())));
     fleet.end("a", earlier, work);
@@ -320,7 +320,7 @@
     let (server_state, others) = fleet.open_servers("svc", now).next().expect("open to new work");
     assert_ne!(server_state.incarnation, earlier);
     assert_eq!(fleet.load(server_state, now), LoadShare::default());
-    assert_eq!((others.aside, server_state.health.is_aside(now)), (0, false));
+    assert_eq!((others.ejections, server_state.health.is_aside(now)), (0, false));
     let later = fleet.begin("a", work, now).expect("a known server");
     fleet.change("a", earlier, work, LoadShare::default());
     fleet.end("a", earlier, work);
@@ -336,7 +336,7 @@
     let mut fleet = Fleet::new(0);
     let now = Instant::now();
     assert!(!fleet.peers.has_report("gw-1", 7));
-    fleet.peers.note("gw-1", 7, 1, PeerUpdate::default(), now);
+    fleet.peers.record("gw-1", 7, 1, PeerUpdate::default(), now);
     assert!(fleet.peers.has_report("gw-1", 7));
     assert!(!fleet.peers.has_report("gw-1", 8));
     fleet.tick(now + Duration::from_secs(6));
--- a/crates/gateway/tests/in_force.rs
+++ b/crates/gateway/tests/in_force.rs
@@ -13,26 +13,26 @@
 }
 
 #[test]
-fn offers() {
+fn only_newer_tables_are_applied() {
     struct Case {
         name: &'static str,
-        offers: &'static [(u64, u64)],
+        tables: &'static [(u64, u64)],
         expected: Option<u64>,
     }
     let cases = [
-        Case { name: "none yet", offers: &[], expected: None },
-        Case { name: "newer ones", offers: &[(1, 3), (2, 8)], expected: Some(8) },
-        Case { name: "an older row", offers: &[(5, 8), (2, 3)], expected: Some(8) },
+        Case { name: "none yet", tables: &[], expected: None },
+        Case { name: "newer ones", tables: &[(1, 3), (2, 8)], expected: Some(8) },
+        Case { name: "an older row", tables: &[(5, 8), (2, 3)], expected: Some(8) },
         Case {
             name: "an older version in a newer row",
-            offers: &[(5, 8), (6, 3)],
+            tables: &[(5, 8), (6, 3)],
             expected: Some(8),
         },
     ];
     for case in cases {
         let mut in_force = InForce::default();
-        for (row, version) in case.offers {
-            in_force.offer(*row, table(*version));
+        for (row, version) in case.tables {
+            in_force.apply_if_newer(*row, table(*version));
         }
         let version = in_force.table().map(|table| table.version);
         assert_eq!(version, case.expected, "{}", case.name);
@@ -40,20 +40,20 @@
 }
 
 #[test]
-fn the_change_names_what_was_before() {
+fn the_change_names_the_previous_version() {
     let mut in_force = InForce::default();
-    assert_eq!(in_force.offer(1, table(3)), InForceChange::Applied { before: None });
-    assert_eq!(in_force.offer(2, table(4)), InForceChange::Applied { before: Some(3) });
-    assert_eq!(in_force.offer(2, table(4)), InForceChange::Old { current: 4 });
+    assert_eq!(in_force.apply_if_newer(1, table(3)), InForceChange::Applied { before: None });
+    assert_eq!(in_force.apply_if_newer(2, table(4)), InForceChange::Applied { before: Some(3) });
+    assert_eq!(in_force.apply_if_newer(2, table(4)), InForceChange::NotNewer { current: 4 });
 }
 
 proptest! {
     #[test]
-    fn it_never_goes_back(offers in prop::collection::vec((0u64..50, 0u64..50), 0..100)) {
+    fn the_version_never_decreases(tables in prop::collection::vec((0u64..50, 0u64..50), 0..100)) {
         let mut in_force = InForce::default();
         let mut newest = 0;
-        for (row, version) in offers {
-            in_force.offer(row, table(version));
+        for (row, version) in tables {
+            in_force.apply_if_newer(row, table(version));
             let current = in_force.table().map_or(0, |table| table.version);
             prop_assert!(current >= newest);
             newest = current;
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -132,7 +132,7 @@
                     continue;
                 }
                 let (peer, news) = (format!("gw-{from}"), PeerUpdate::default());
-                self.fleets[to].peers.note(&peer, 1, self.sequence, news, self.now);
+                self.fleets[to].peers.record(&peer, 1, self.sequence, news, self.now);
                 for news in &limits {
                     self.fleets[to].hear_limit(*news, self.now);
                 }
--- a/crates/gateway/tests/line_order.rs
+++ b/crates/gateway/tests/line_order.rs
@@ -86,9 +86,9 @@
                 lines: [(SERVICE, *line)].into_iter().collect(),
                 ..PeerUpdate::default()
             };
-            peers.note(&format!("peer-{at}"), 1, 1, news, now);
+            peers.record(&format!("peer-{at}"), 1, 1, news, now);
         }
-        let before = peers.waiting_before(SERVICE, &case.own, now);
+        let before = peers.queued_ahead(SERVICE, &case.own, now);
         assert_eq!(before, case.before, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/peer_totals.rs
+++ b/crates/gateway/tests/peer_totals.rs
@@ -11,7 +11,7 @@
 use umberglade_gateway::cluster::PlacementRequest;
 use umberglade_gateway::cluster::QueueUpdate;
 use umberglade_gateway::cluster::RetryCount;
-use umberglade_gateway::cluster::ServerSum;
+use umberglade_gateway::cluster::ServerTotals;
 use umberglade_gateway::cluster::place_engine;
 use umberglade_gateway::cluster::place_plain;
 use umberglade_gateway::cluster::server_digest;
@@ -22,10 +22,10 @@
 use umberglade_gateway::model::ServerStage;
 
 /// How long a report counts.
-const REPORT_LIFE: Duration = Duration::from_millis(600);
+const REPORT_LIFETIME: Duration = Duration::from_millis(600);
 /// How long a peer is remembered after its last report, for the order of its
 /// reports.
-const PEER_LIFE: Duration = Duration::from_secs(5);
+const PEER_RETENTION: Duration = Duration::from_secs(5);
 
 const PEERS: [&str; 3] = ["gw-1", "gw-2", "gw-3"];
 const SERVERS: u64 = 3;
@@ -33,12 +33,12 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Report { peer: usize, incarnation: u64, sequence: u64, news: Box<PeerUpdate> },
+    Report { peer: usize, incarnation: u64, sequence: u64, update: Box<PeerUpdate> },
     Wait(u64),
     Tick,
 }
 
-fn news() -> impl Strategy<Value = PeerUpdate> {
+fn update() -> impl Strategy<Value = PeerUpdate> {
     // Counts of any size: a datagram may hold anything.
     let count = || prop_oneof![4 => 0u32..50, 1 => any::<u32>()];
     let load = (0..SERVERS, count(), count(), count(), count()).prop_map(
@@ -48,10 +48,10 @@
     );
     let retry = (0..SERVICES, count(), count())
         .prop_map(|(service, requests, repeats)| (service, RetryCount { requests, repeats }));
-    let line = (0..SERVICES, count(), count(), count()).prop_map(
+    let queue = (0..SERVICES, count(), count(), count()).prop_map(
         |(service, waiting, on_time, pace_milli)| {
             let arrivals_milli = pace_milli / 2;
-            let line = QueueUpdate {
+            let queue = QueueUpdate {
                 waiting,
                 on_time,
                 first_age_ms: 1,
@@ -60,7 +60,7 @@
                 pace_milli,
                 arrivals_milli,
             };
-            (service, line)
+            (service, queue)
         },
     );
     let servers = || prop::collection::vec(0..SERVERS, 0..3);
@@ -68,14 +68,14 @@
     (
         prop::collection::vec(load, few.clone()),
         prop::collection::vec(retry, few),
-        prop::option::of(line),
+        prop::option::of(queue),
         servers(),
         servers(),
     )
-        .prop_map(|(loads, retries, line, aside, changing)| PeerUpdate {
+        .prop_map(|(loads, retries, queue, aside, changing)| PeerUpdate {
             loads,
             retries,
-            lines: line.into_iter().collect(),
+            lines: queue.into_iter().collect(),
             aside: aside.into(),
             changing: changing.into(),
             ..PeerUpdate::default()
@@ -84,10 +84,10 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        4 => (0..PEERS.len(), 1u64..3, 1u64..30, news()).prop_map(
-            |(peer, incarnation, sequence, news)| {
-                let news = Box::new(news);
-                Step::Report { peer, incarnation, sequence, news }
+        4 => (0..PEERS.len(), 1u64..3, 1u64..30, update()).prop_map(
+            |(peer, incarnation, sequence, update)| {
+                let update = Box::new(update);
+                Step::Report { peer, incarnation, sequence, update }
             }
         ),
         3 => (0u64..700).prop_map(Step::Wait),
@@ -97,17 +97,17 @@
 
 /// The newest reports and when they came, summed anew at each look.
 #[derive(Default)]
-struct PlainSums {
+struct ReferenceTotals {
     newest: Vec<(usize, u64, u64, Instant, PeerUpdate)>,
 }
 
-impl PlainSums {
-    fn note(
+impl ReferenceTotals {
+    fn record(
         &mut self,
         peer: usize,
         incarnation: u64,
         sequence: u64,
-        news: PeerUpdate,
+        update: PeerUpdate,
         now: Instant,
     ) {
         let is_older = |known: &&(usize, u64, u64, Instant, PeerUpdate)| {
@@ -117,35 +117,35 @@
             return;
         }
         self.newest.retain(|known| known.0 != peer);
-        self.newest.push((peer, incarnation, sequence, now, news));
+        self.newest.push((peer, incarnation, sequence, now, update));
     }
 
     fn fresh(&self, now: Instant) -> impl Iterator<Item = &PeerUpdate> {
-        let is_fresh = move |heard: Instant| now - heard < REPORT_LIFE;
+        let is_fresh = move |received_at: Instant| now - received_at < REPORT_LIFETIME;
         self.newest.iter().filter(move |known| is_fresh(known.3)).map(|known| &known.4)
     }
 
-    fn server(&self, digest: u64, now: Instant) -> ServerSum {
-        let mut sum = ServerSum::default();
-        for news in self.fresh(now) {
-            for (_, load) in news.loads.iter().filter(|(server, _)| *server == digest) {
+    fn server(&self, digest: u64, now: Instant) -> ServerTotals {
+        let mut sum = ServerTotals::default();
+        for update in self.fresh(now) {
+            for (_, load) in update.loads.iter().filter(|(server, _)| *server == digest) {
                 sum.load = sum.load.plus(load.bounded());
             }
             let count = |of: &[u64]| of.iter().filter(|server| **server == digest).count() as u32;
-            sum.aside += count(&news.aside);
-            sum.changing += count(&news.changing);
+            sum.ejections += count(&update.aside);
+            sum.stage_changes += count(&update.changing);
         }
         sum
     }
 
     fn requests(&self, digest: u64, now: Instant) -> u64 {
-        let counts = self.fresh(now).flat_map(|news| &news.retries);
+        let counts = self.fresh(now).flat_map(|update| &update.retries);
         counts.filter(|(of, _)| *of == digest).map(|(_, count)| u64::from(count.requests)).sum()
     }
 
     fn waiting(&self, digest: u64, now: Instant) -> u64 {
-        let lines = self.fresh(now).flat_map(|news| &news.lines);
-        lines.filter(|(of, _)| *of == digest).map(|(_, line)| u64::from(line.waiting)).sum()
+        let queues = self.fresh(now).flat_map(|update| &update.lines);
+        queues.filter(|(of, _)| *of == digest).map(|(_, queue)| u64::from(queue.waiting)).sum()
     }
 }
 
@@ -155,30 +155,30 @@
     #[test]
     fn sums_equal_the_sum_over_all_reports(steps in prop::collection::vec(step(), 1..60)) {
         let mut now = Instant::now();
-        let mut loads = PeerReports::default();
-        let mut plain = PlainSums::default();
+        let mut reports = PeerReports::default();
+        let mut reference = ReferenceTotals::default();
         for step in steps {
             match step {
-                Step::Report { peer, incarnation, sequence, news } => {
-                    loads.note(PEERS[peer], incarnation, sequence, (*news).clone(), now);
-                    plain.note(peer, incarnation, sequence, *news, now);
+                Step::Report { peer, incarnation, sequence, update } => {
+                    reports.record(PEERS[peer], incarnation, sequence, (*update).clone(), now);
+                    reference.record(peer, incarnation, sequence, *update, now);
                 }
                 Step::Wait(millis) => now += Duration::from_millis(millis),
                 Step::Tick => {
-                    loads.forget_old(now);
-                    plain.newest.retain(|known| now - known.3 < PEER_LIFE);
+                    reports.remove_expired(now);
+                    reference.newest.retain(|known| now - known.3 < PEER_RETENTION);
                 }
             }
             for server in 0..SERVERS {
-                prop_assert_eq!(loads.server(server, now), plain.server(server, now));
+                prop_assert_eq!(reports.server(server, now), reference.server(server, now));
             }
             for service in 0..SERVICES {
-                let requests = plain.requests(service, now).min(u64::from(u32::MAX));
-                prop_assert_eq!(u64::from(loads.retries(service, now).count.requests), requests);
-                let waiting = plain.waiting(service, now).min(u64::from(u32::MAX));
-                prop_assert_eq!(u64::from(loads.other_lines(service, now).waiting), waiting);
+                let requests = reference.requests(service, now).min(u64::from(u32::MAX));
+                prop_assert_eq!(u64::from(reports.retries(service, now).count.requests), requests);
+                let waiting = reference.waiting(service, now).min(u64::from(u32::MAX));
+                prop_assert_eq!(u64::from(reports.queues(service, now).waiting), waiting);
             }
-            prop_assert_eq!(loads.heard(now), plain.fresh(now).count());
+            prop_assert_eq!(reports.fresh_count(now), reference.fresh(now).count());
         }
     }
 }
@@ -188,7 +188,7 @@
 /// core. Callers waited for the gateway's own processor, and half of them were
 /// not served. Each server is looked up once now, whatever its peers.
 #[test]
-fn a_placement_looks_each_server_up_once() {
+fn placement_looks_up_each_server_once() {
     struct Case {
         name: &'static str,
         peers: usize,
@@ -217,22 +217,22 @@
         for peer in 0..case.peers {
             let load = LoadShare::of_stream(&shape);
             let at = peer % (case.decode + case.prefill);
-            let news = PeerUpdate {
+            let update = PeerUpdate {
                 loads: vec![(server_digest(&format!("s{at}")), load)],
                 ..PeerUpdate::default()
             };
-            fleet.peers.note(&format!("gw-{peer}"), 1, 1, news, now);
+            fleet.peers.record(&format!("gw-{peer}"), 1, 1, update, now);
         }
         let domain: DomainKey = "z0".into();
         let gateway = server_digest("gw");
         let need = PlacementRequest { service: "svc", gateway, domain: &domain, tried: &[], now };
-        let before = fleet.peers.server_looks();
+        let before = fleet.peers.server_lookups();
         place_engine(&fleet, &spec, &shape, 0, &need).expect("room");
         let engines = (case.decode + case.prefill) as u64;
-        assert_eq!(fleet.peers.server_looks() - before, engines, "{}: engines", case.name);
-        let before = fleet.peers.server_looks();
+        assert_eq!(fleet.peers.server_lookups() - before, engines, "{}: engines", case.name);
+        let before = fleet.peers.server_lookups();
         place_plain(&fleet, &need).expect("a server");
-        assert_eq!(fleet.peers.server_looks() - before, engines, "{}: a plain call", case.name);
+        assert_eq!(fleet.peers.server_lookups() - before, engines, "{}: a plain call", case.name);
     }
 }
 
--- a/crates/gateway/tests/peer_traffic.rs
+++ b/crates/gateway/tests/peer_traffic.rs
@@ -5,9 +5,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use umberglade_gateway::cluster::FAR_PACE;
 use umberglade_gateway::cluster::LoadShare;
 use umberglade_gateway::cluster::PeerReach;
+use umberglade_gateway::cluster::REMOTE_REPORT_INTERVAL;
 use umberglade_gateway::cluster::RetryCount;
 use umberglade_gateway::cluster::report_interval;
 use umberglade_gateway::cluster::server_digest;
@@ -32,17 +32,17 @@
 /// IP and UDP headers.
 const FRAMING: usize = 28;
 
-fn address(place: usize) -> SocketAddr {
-    let [.., high, low] = (place as u32).to_be_bytes();
+fn address(index: usize) -> SocketAddr {
+    let [.., high, low] = (index as u32).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(10, 0, high, low), 7660))
 }
 
-fn book(gateways: usize) -> PeerRegistry {
-    let book = PeerRegistry::default();
-    for place in 0..gateways {
-        book.insert(&format!("front-{place}"), address(place));
+fn registry(gateways: usize) -> PeerRegistry {
+    let registry = PeerRegistry::default();
+    for index in 0..gateways {
+        registry.insert(&format!("front-{index}"), address(index));
     }
-    book
+    registry
 }
 
 fn report(reach: PeerReach, now: u64) -> LoadReport {
@@ -78,24 +78,24 @@
 
 /// Bytes a second that one of `gateways` sends, each of its streams told of as it
 /// changes.
-fn sent_per_s(gateways: usize) -> f64 {
+fn bytes_sent_per_s(gateways: usize) -> f64 {
     let shards = shard_count(gateways, gateways * SERVERS_PER_GATEWAY);
-    let PeerGroups { near, far } = book(gateways).groups("front-0", shards);
-    let begun = Instant::now();
-    let mut budget = SendBudget::new(begun);
-    let mut remote_peer_cycle = RemotePeerCycle::new(begun);
-    let mut change = begun;
-    let pause = Duration::from_secs(1) / (STREAMS_PER_S * CHANGES_PER_STREAM) as u32;
-    let (mut now, mut sent) = (begun, 0);
-    while now < begun + Duration::from_secs(SECONDS) {
-        let due = now + report_interval(near.len());
+    let PeerGroups { local_shard, remote } = registry(gateways).groups("front-0", shards);
+    let started_at = Instant::now();
+    let mut budget = SendBudget::new(started_at);
+    let mut remote_peer_cycle = RemotePeerCycle::new(started_at);
+    let mut change = started_at;
+    let change_interval = Duration::from_secs(1) / (STREAMS_PER_S * CHANGES_PER_STREAM) as u32;
+    let (mut now, mut sent) = (started_at, 0);
+    while now < started_at + Duration::from_secs(SECONDS) {
+        let due = now + report_interval(local_shard.len());
         while change <= now {
-            change += pause;
+            change += change_interval;
         }
-        now = if change < due { budget.send_at(near.len(), due, change) } else { due };
-        sent += near.len() * bytes(report(PeerReach::Near, 1));
-        let told = remote_peer_cycle.next(&far, FAR_PACE, now);
-        sent += told.len() * bytes(report(PeerReach::Far, 1));
+        now = if change < due { budget.send_at(local_shard.len(), due, change) } else { due };
+        sent += local_shard.len() * bytes(report(PeerReach::Near, 1));
+        let recipients = remote_peer_cycle.next(&remote, REMOTE_REPORT_INTERVAL, now);
+        sent += recipients.len() * bytes(report(PeerReach::Far, 1));
     }
     sent as f64 / SECONDS as f64
 }
@@ -103,10 +103,10 @@
 /// Guards against links that fill up with what gateways tell each other: it must
 /// not grow with their square, nor take the link of a small instance.
 #[test]
-fn traffic_hardly_grows_with_the_gateways() {
-    let few = sent_per_s(30);
+fn traffic_per_gateway_grows_sublinearly() {
+    let few = bytes_sent_per_s(30);
     for gateways in [195, 301, 340] {
-        let many = sent_per_s(gateways);
+        let many = bytes_sent_per_s(gateways);
         let power = (many / few).ln() / (gateways as f64 / 30.0).ln();
         assert!(many < MAX_BYTES_PER_S, "{gateways} gateways: {many:.0} bytes a second");
         assert!(power < 0.5, "{gateways} gateways: {few:.0} to {many:.0}, power {power:.2}");
@@ -122,7 +122,7 @@
 /// Guards against shards in which few gateways or few servers are left to choose
 /// from.
 #[test]
-fn few_are_not_sharded() {
+fn small_sites_are_not_sharded() {
     let cases = [
         ShardCase { gateways: 6, servers: 21, shards: 1 },
         ShardCase { gateways: 79, servers: 140, shards: 1 },
@@ -141,32 +141,35 @@
 
 /// Guards against shards without their part of the gateways or servers.
 #[test]
-fn shards_have_about_their_part() {
+fn shards_are_about_equal() {
     let shards = shard_count(301, 2700);
     for (kind, count) in [("front", 301), ("i", 2700)] {
         for shard in 0..shards {
-            let digest = |place| server_digest(&format!("{kind}-{place}"));
-            let held = (0..count).filter(|place| shares_shard(digest(*place), shard, shards));
-            let part = held.count() as f64 / (f64::from(count) / shards as f64);
-            assert!((0.5..1.6).contains(&part), "{kind}, shard {shard}: {part:.2} of its part");
+            let digest = |index| server_digest(&format!("{kind}-{index}"));
+            let members = (0..count).filter(|index| shares_shard(digest(*index), shard, shards));
+            let fraction = members.count() as f64 / (f64::from(count) / shards as f64);
+            assert!(
+                (0.5..1.6).contains(&fraction),
+                "{kind}, shard {shard}: {fraction:.2} of its share"
+            );
         }
     }
 }
 
 /// Guards against far gateways that are never told, or all at a time.
 #[test]
-fn far_gateways_are_told_in_turn() {
-    let far: Vec<SocketAddr> = (1..=263).map(address).collect();
-    let begun = Instant::now();
-    let mut turn = RemotePeerCycle::new(begun);
-    let mut told = Vec::new();
+fn remote_gateways_are_reached_in_turn() {
+    let remote: Vec<SocketAddr> = (1..=263).map(address).collect();
+    let started_at = Instant::now();
+    let mut cycle = RemotePeerCycle::new(started_at);
+    let mut reached = Vec::new();
     for step in 1..=10 {
-        let now = begun + Duration::from_millis(100 * step);
-        let next = turn.next(&far, FAR_PACE, now);
+        let now = started_at + Duration::from_millis(100 * step);
+        let next = cycle.next(&remote, REMOTE_REPORT_INTERVAL, now);
         assert!(next.len() < 60, "{} at a time", next.len());
-        told.extend(next);
+        reached.extend(next);
     }
-    told.sort_unstable();
-    told.dedup();
-    assert!(told.len() > 250, "{} told in a pace", told.len());
+    reached.sort_unstable();
+    reached.dedup();
+    assert!(reached.len() > 250, "{} told in a pace", reached.len());
 }
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -94,7 +94,7 @@
         Change::Peer(server, running) => {
             let loads = [(server_digest(server), calls(running))].into();
             let news = PeerUpdate { loads, ..PeerUpdate::default() };
-            fleet.peers.note("peer", 1, 1, news, now);
+            fleet.peers.record("peer", 1, 1, news, now);
         }
         Change::Outcome(server, outcome, times) => {
             (0..times).for_each(|_| note(fleet, server, outcome, now));
@@ -103,7 +103,7 @@
             for peer in 0..peers {
                 let aside = [server_digest(server)].into_iter().collect();
                 let news = PeerUpdate { aside, ..PeerUpdate::default() };
-                fleet.peers.note(&format!("peer-{peer}"), 1, 1, news, now);
+                fleet.peers.record(&format!("peer-{peer}"), 1, 1, news, now);
             }
         }
         Change::Leaves(server) => {
@@ -343,7 +343,7 @@
     for at in 0..50 {
         let mut fleet = fleet(ServerStage::Decode, &[("idle", "z1"), ("used", "z1")]);
         let loads = [(server_digest("used"), streams(1, 0))].into();
-        fleet.peers.note("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
+        fleet.peers.record("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
         let gateway = server_digest(&format!("front-{at}"));
         let need = PlacementRequest { gateway, ..need(&domain, &[], now) };
         let place = place_engine(&fleet, &spec(), &SHAPE, 0, &need).unwrap();
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retry_budget.rs
@@ -7,7 +7,7 @@
 use umberglade_gateway::cluster::PeerRetries;
 use umberglade_gateway::cluster::RetryBudget;
 use umberglade_gateway::cluster::RetryCount;
-use umberglade_gateway::cluster::RetryVerdict;
+use umberglade_gateway::cluster::RetryPriority;
 use umberglade_gateway::model::ServiceName;
 
 const RATIO: f64 = 0.2;
@@ -16,11 +16,11 @@
 
 /// Gateways with one service, whose reports to each other are `lag` old.
 struct Gateways {
-    allowances: Vec<RetryBudget>,
+    budgets: Vec<RetryBudget>,
     /// Counts as reported last, by gateway.
     reported: Vec<RetryCount>,
     /// Which gateways hear each other.
-    hears: bool,
+    are_connected: bool,
     service: ServiceName,
     /// When each request came, and each repeat.
     requests: Vec<Instant>,
@@ -28,12 +28,12 @@
 }
 
 impl Gateways {
-    fn new(count: usize, hears: bool, begun: Instant) -> Self {
-        let allowance = || RetryBudget::new(RATIO, SLACK, WINDOW, begun);
+    fn new(count: usize, are_connected: bool, started_at: Instant) -> Self {
+        let budget = || RetryBudget::new(RATIO, SLACK, WINDOW, started_at);
         Gateways {
-            allowances: (0..count).map(|_| allowance()).collect(),
+            budgets: (0..count).map(|_| budget()).collect(),
             reported: vec![RetryCount::default(); count],
-            hears,
+            are_connected,
             service: "svc".into(),
             requests: Vec::new(),
             repeats: Vec::new(),
@@ -41,18 +41,19 @@
     }
 
     fn request(&mut self, gateway: usize, now: Instant) {
-        self.allowances[gateway].note_request(&self.service, now);
+        self.budgets[gateway].record_request(&self.service, now);
         self.requests.push(now);
     }
 
     fn repeat(&mut self, gateway: usize, now: Instant) -> bool {
-        let members = self.allowances.len();
-        let heard = if self.hears { self.heard_by(gateway) } else { PeerRetries::default() };
-        let is_allowed = self.allowances[gateway].spend(
+        let members = self.budgets.len();
+        let peers =
+            if self.are_connected { self.peer_retries(gateway) } else { PeerRetries::default() };
+        let is_allowed = self.budgets[gateway].consume(
             &self.service,
             members,
-            heard,
-            RetryVerdict::Needed,
+            peers,
+            RetryPriority::Needed,
             now,
         );
         if is_allowed {
@@ -61,9 +62,9 @@
         is_allowed
     }
 
-    fn heard_by(&self, gateway: usize) -> PeerRetries {
-        let others = self.reported.iter().enumerate().filter(|(at, _)| *at != gateway);
-        others.fold(PeerRetries::default(), |sum, (_, count)| PeerRetries {
+    fn peer_retries(&self, gateway: usize) -> PeerRetries {
+        let peers = self.reported.iter().enumerate().filter(|(at, _)| *at != gateway);
+        peers.fold(PeerRetries::default(), |sum, (_, count)| PeerRetries {
             gateways: sum.gateways + 1,
             count: RetryCount {
                 requests: sum.count.requests + count.requests,
@@ -73,15 +74,15 @@
     }
 
     fn report(&mut self, now: Instant) {
-        for (allowance, reported) in self.allowances.iter_mut().zip(&mut self.reported) {
-            let counts = allowance.own_counts(now);
+        for (budget, reported) in self.budgets.iter_mut().zip(&mut self.reported) {
+            let counts = budget.local_counts(now);
             *reported = counts.first().map_or(RetryCount::default(), |(_, count)| *count);
         }
     }
 
     /// The window in which repeats come closest to their bound, as a share
     /// of it.
-    fn worst_share(&self) -> f64 {
+    fn peak_fraction(&self) -> f64 {
         let within = |times: &[Instant], end: Instant| {
             times.iter().filter(|at| **at <= end && end.duration_since(**at) < WINDOW).count()
         };
@@ -100,44 +101,93 @@
 /// they hear each other or not, the service sees no more repeats than its
 /// bound allows.
 #[test]
-fn all_gateways_together_keep_the_bound() {
+fn all_gateways_together_keep_within_the_bound() {
     struct Case {
         name: &'static str,
         gateways: usize,
-        hears: bool,
-        /// Requests a second; all come to one gateway in `skewed` cases.
-        pace: u32,
-        skewed: bool,
+        are_connected: bool,
+        /// Requests a second; all come to one gateway in `is_skewed` cases.
+        rate: u32,
+        is_skewed: bool,
         /// The least share of the bound that should be used.
-        used: f64,
+        min_used: f64,
     }
     let cases = [
-        Case { name: "even", gateways: 6, hears: true, pace: 80, skewed: false, used: 0.7 },
-        Case { name: "one has all", gateways: 6, hears: true, pace: 80, skewed: true, used: 0.7 },
-        Case { name: "deaf", gateways: 6, hears: false, pace: 80, skewed: false, used: 0.5 },
-        Case { name: "deaf, skewed", gateways: 6, hears: false, pace: 80, skewed: true, used: 0.3 },
-        Case { name: "quiet", gateways: 6, hears: true, pace: 8, skewed: true, used: 0.6 },
-        Case { name: "many", gateways: 80, hears: true, pace: 300, skewed: false, used: 0.7 },
-        Case { name: "alone", gateways: 1, hears: true, pace: 20, skewed: true, used: 0.6 },
+        Case {
+            name: "even",
+            gateways: 6,
+            are_connected: true,
+            rate: 80,
+            is_skewed: false,
+            min_used: 0.7,
+        },
+        Case {
+            name: "one has all",
+            gateways: 6,
+            are_connected: true,
+            rate: 80,
+            is_skewed: true,
+            min_used: 0.7,
+        },
+        Case {
+            name: "deaf",
+            gateways: 6,
+            are_connected: false,
+            rate: 80,
+            is_skewed: false,
+            min_used: 0.5,
+        },
+        Case {
+            name: "deaf, skewed",
+            gateways: 6,
+            are_connected: false,
+            rate: 80,
+            is_skewed: true,
+            min_used: 0.3,
+        },
+        Case {
+            name: "quiet",
+            gateways: 6,
+            are_connected: true,
+            rate: 8,
+            is_skewed: true,
+            min_used: 0.6,
+        },
+        Case {
+            name: "many",
+            gateways: 80,
+            are_connected: true,
+            rate: 300,
+            is_skewed: false,
+            min_used: 0.7,
+        },
+        Case {
+            name: "alone",
+            gateways: 1,
+            are_connected: true,
+            rate: 20,
+            is_skewed: true,
+            min_used: 0.6,
+        },
     ];
     for case in cases {
-        let begun = Instant::now();
-        let mut gateways = Gateways::new(case.gateways, case.hears, begun);
-        let gap = Duration::from_secs(1) / case.pace;
-        let warm = begun + WINDOW;
-        for at in 0..case.pace * 20 {
+        let started_at = Instant::now();
+        let mut gateways = Gateways::new(case.gateways, case.are_connected, started_at);
+        let gap = Duration::from_secs(1) / case.rate;
+        let warm = started_at + WINDOW;
+        for at in 0..case.rate * 20 {
             let now = warm + gap * at;
-            let gateway = if case.skewed { 0 } else { at as usize % case.gateways };
+            let gateway = if case.is_skewed { 0 } else { at as usize % case.gateways };
             gateways.request(gateway, now);
             gateways.repeat(gateway, now);
             // A report each 50 ms or less often, as between real gateways.
-            if at % (case.pace / 20).max(1) == 0 {
+            if at % (case.rate / 20).max(1) == 0 {
                 gateways.report(now);
             }
         }
-        let share = gateways.worst_share();
-        assert!(share <= 1.0, "{}: {share:.2} of the bound", case.name);
-        assert!(share >= case.used, "{}: only {share:.2} of the bound used", case.name);
+        let fraction = gateways.peak_fraction();
+        assert!(fraction <= 1.0, "{}: {fraction:.2} of the bound", case.name);
+        assert!(fraction >= case.min_used, "{}: only {fraction:.2} of the bound used", case.name);
     }
 }
 
@@ -145,10 +195,10 @@
 /// again at once, knowing nothing of what was sent before. The window over
 /// both lives must keep the bound.
 #[test]
-fn a_restart_does_not_grant_the_bound_anew() {
-    let begun = Instant::now();
-    let mut before = Gateways::new(6, true, begun);
-    let killed = begun + WINDOW + Duration::from_secs(1);
+fn a_restart_does_not_renew_the_bound() {
+    let started_at = Instant::now();
+    let mut before = Gateways::new(6, true, started_at);
+    let killed = started_at + WINDOW + Duration::from_secs(1);
     for at in 0..200 {
         let now = killed - Duration::from_millis(200 - at);
         before.request(at as usize % 6, now);
@@ -162,11 +212,11 @@
         after.repeat(at as usize % 6, now);
         after.report(now);
     }
-    let mut both = Gateways::new(1, true, begun);
+    let mut both = Gateways::new(1, true, started_at);
     both.requests = [before.requests, after.requests].concat();
     both.repeats = [before.repeats, after.repeats].concat();
-    let share = both.worst_share();
-    assert!(share <= 1.0, "{share:.2} of the bound");
+    let fraction = both.peak_fraction();
+    assert!(fraction <= 1.0, "{fraction:.2} of the bound");
 }
 
 /// Three engines crash at once. Their streams need a repeat each to go on;
@@ -174,16 +224,16 @@
 /// faster. Were both paid alike, streams would break for want of the first.
 #[test]
 fn helpful_repeats_leave_some_for_needed_ones() {
-    let begun = Instant::now();
-    let now = begun + WINDOW;
+    let started_at = Instant::now();
+    let now = started_at + WINDOW;
     let service: ServiceName = "svc".into();
-    let mut allowance = RetryBudget::new(RATIO, SLACK, WINDOW, begun);
-    let mut spend = |use_for| {
-        let heard = PeerRetries::default();
-        (0..1000).filter(|_| allowance.spend(&service, 1, heard, use_for, now)).count()
+    let mut budget = RetryBudget::new(RATIO, SLACK, WINDOW, started_at);
+    let mut consume = |priority| {
+        let peers = PeerRetries::default();
+        (0..1000).filter(|_| budget.consume(&service, 1, peers, priority, now)).count()
     };
-    let helpful = spend(RetryVerdict::Helpful);
-    let needed = spend(RetryVerdict::Needed);
+    let helpful = consume(RetryPriority::Helpful);
+    let needed = consume(RetryPriority::Needed);
     assert!((1..=38).contains(&helpful), "{helpful}");
     assert!(needed >= 1 && helpful + needed <= 42, "{helpful} and {needed}");
 }
@@ -193,11 +243,11 @@
     #[test]
     fn any_traffic_keeps_the_bound(
         steps in prop::collection::vec((0usize..6, 0u64..80, any::<bool>()), 1..600),
-        hears in any::<bool>(),
+        are_connected in any::<bool>(),
     ) {
-        let begun = Instant::now();
-        let mut gateways = Gateways::new(6, hears, begun);
-        let mut now = begun + WINDOW;
+        let started_at = Instant::now();
+        let mut gateways = Gateways::new(6, are_connected, started_at);
+        let mut now = started_at + WINDOW;
         for (gateway, millis, is_request) in steps {
             now += Duration::from_millis(millis);
             if is_request {
@@ -206,7 +256,7 @@
             gateways.repeat(gateway, now);
             gateways.report(now);
         }
-        prop_assert!(gateways.worst_share() <= 1.0);
+        prop_assert!(gateways.peak_fraction() <= 1.0);
     }
 }
 
@@ -214,20 +264,20 @@
 /// sent to the old ids are rejected, and each such arrival counts against the
 /// bound: repeats that are asked for must leave room for them.
 #[test]
-fn rejected_first_sends_count_against_the_bound() {
-    let begun = Instant::now();
-    let now = begun + WINDOW * 2;
+fn rejected_first_attempts_count_against_the_bound() {
+    let started_at = Instant::now();
+    let now = started_at + WINDOW * 2;
     let service: ServiceName = "svc".into();
     let allowed_after = |rejected: u32| {
-        let mut allowance = RetryBudget::new(RATIO, SLACK, WINDOW, begun);
-        (0..100).for_each(|_| allowance.note_request(&service, now));
-        (0..rejected).for_each(|_| allowance.note_repeat(&service, now));
+        let mut budget = RetryBudget::new(RATIO, SLACK, WINDOW, started_at);
+        (0..100).for_each(|_| budget.record_request(&service, now));
+        (0..rejected).for_each(|_| budget.record_retry(&service, now));
         // Further apart than reports may be old, all within one window.
-        let spend = |at: u32| {
+        let consume = |at: u32| {
             let later = now + Duration::from_millis(120) * (at + 1);
-            allowance.spend(&service, 1, PeerRetries::default(), RetryVerdict::Needed, later)
+            budget.consume(&service, 1, PeerRetries::default(), RetryPriority::Needed, later)
         };
-        (0..75).map(spend).filter(|is_allowed| *is_allowed).count() as u32
+        (0..75).map(consume).filter(|is_allowed| *is_allowed).count() as u32
     };
     let freely = allowed_after(0);
     assert!(freely > 20, "{freely} allowed");
--- /dev/null
+++ b/crates/gateway/tests/send_budget.rs
@@ -0,0 +1,87 @@
+//! How soon the other gateways are told of a change.
+
+use std::time::Duration;
+use std::time::Instant;
+
+use umberglade_gateway::cluster::report_interval;
+use umberglade_gateway::peers::SendBudget;
+
+/// Changes at one gateway, evenly spread, among its regular reports.
+struct BudgetCase {
+    name: &'static str,
+    peers: usize,
+    changes_per_s: u32,
+    /// The max_sent that the mean change may wait to be told.
+    max_mean_delay: Duration,
+    /// The max_sent datagrams for changes in a second.
+    max_per_s: usize,
+}
+
+/// A stream is placed, and the gateways that hear of it late choose the same
+/// server: its callers see pauses when the memory runs out. With the regular
+/// reports paid from the same budget, changes at 79 peers waited for the
+/// next regular report.
+#[test]
+fn changes_are_reported_at_once_within_the_budget() {
+    let ms = Duration::from_millis;
+    let cases = [
+        BudgetCase {
+            name: "small",
+            peers: 5,
+            changes_per_s: 40,
+            max_mean_delay: ms(1),
+            max_per_s: 1600,
+        },
+        BudgetCase {
+            name: "many",
+            peers: 79,
+            changes_per_s: 4,
+            max_mean_delay: ms(1),
+            max_per_s: 1600,
+        },
+        BudgetCase {
+            name: "storm",
+            peers: 79,
+            changes_per_s: 50,
+            max_mean_delay: ms(250),
+            max_per_s: 1600,
+        },
+        BudgetCase {
+            name: "target",
+            peers: 339,
+            changes_per_s: 60,
+            max_mean_delay: ms(250),
+            max_per_s: 1600,
+        },
+    ];
+    let seconds = 10;
+    for case in cases {
+        let started_at = Instant::now();
+        let mut budget = SendBudget::new(started_at);
+        let interval = report_interval(case.peers);
+        let mut due = started_at + interval;
+        let mut sent_at = started_at;
+        let (mut delays, mut sent) = (Duration::ZERO, 0);
+        let count = seconds * case.changes_per_s;
+        for index in 1..=count {
+            let now = started_at + Duration::from_secs(1) * index / case.changes_per_s;
+            while due <= now {
+                due += interval;
+            }
+            // The loop delays for one report at a time: a change that comes
+            // meanwhile is told with it.
+            if now >= sent_at {
+                sent_at = budget.send_at(case.peers, due, now);
+                if sent_at < due {
+                    sent += case.peers;
+                }
+            }
+            delays += sent_at - now;
+        }
+        let mean = delays / count;
+        assert!(mean <= case.max_mean_delay, "{}: {mean:?}", case.name);
+        let burst = 4 * case.peers;
+        let max_sent = case.max_per_s * seconds as usize + burst;
+        assert!(sent <= max_sent, "{}: {sent} datagrams", case.name);
+    }
+}
--- a/crates/gateway/tests/table_readers.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -14,18 +14,18 @@
 const HELD: u64 = 7;
 const OTHER: u64 = 8;
 /// The gateway under test.
-const OWN: u64 = 100;
-const CROWD: ReaderRank = ReaderRank { peers: 78, before: 40 };
+const LOCAL: u64 = 100;
+const MANY_PEERS: ReaderRank = ReaderRank { peers: 78, peers_before: 40 };
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
     /// The store answered the gateway with content of this fingerprint.
     Read(u64),
-    Failed,
+    ReadFailed,
     /// Rows told by others were taken in.
-    Told(u64),
+    PeerRows(u64),
     /// A peer tells of its own reading, so many milliseconds old.
-    Hear {
+    PeerReads {
         peer: u64,
         fingerprint: u64,
         age_ms: u64,
@@ -33,40 +33,43 @@
     Wait(u64),
     /// It decides, and this is what it must do.
     Reads,
-    IsTold,
+    Listens,
     /// The same as one of few gateways.
     ReadsAmongFew,
     /// Whether it tells the others of its reading.
-    Tells(bool),
+    Sends(bool),
 }
 
-struct RosterCase {
+struct RoleCase {
     name: &'static str,
     steps: Vec<Step>,
 }
 
-fn play(case: &RosterCase) {
-    let mut roster = TableReaders::new(OWN, BOUND, 0.0);
+fn run(case: &RoleCase) {
+    let mut readers = TableReaders::new(LOCAL, BOUND, 0.0);
     let mut now = Instant::now() + Duration::from_secs(60);
     for (at, step) in case.steps.iter().enumerate() {
         let what = format!("{}, step {at} {step:?}", case.name);
-        let few = ReaderRank { peers: 6, before: 5 };
+        let few = ReaderRank { peers: 6, peers_before: 5 };
         match *step {
-            Step::Read(fingerprint) => roster.note_read(fingerprint, now),
-            Step::Failed => roster.note_failed(),
-            Step::Told(fingerprint) => roster.note_told(fingerprint),
-            Step::Hear { peer, fingerprint, age_ms } => {
+            Step::Read(fingerprint) => readers.record_read(fingerprint, now),
+            Step::ReadFailed => readers.record_failure(),
+            Step::PeerRows(fingerprint) => readers.record_peer_rows(fingerprint),
+            Step::PeerReads { peer, fingerprint, age_ms } => {
                 let read_at = now - Duration::from_millis(age_ms);
-                roster.hear(peer, ReaderNotice { fingerprint, read_at, is_heavy: false });
+                readers.apply_peer_notice(
+                    peer,
+                    ReaderNotice { fingerprint, read_at, is_heavy: false },
+                );
             }
             Step::Wait(millis) => now += Duration::from_millis(millis),
-            Step::Reads => assert_eq!(roster.turn(CROWD, now), ReadRole::Own, "{what}"),
-            Step::ReadsAmongFew => assert_eq!(roster.turn(few, now), ReadRole::Own, "{what}"),
-            Step::IsTold => match roster.turn(CROWD, now) {
-                ReadRole::Own => panic!("{what}: reads"),
-                ReadRole::Told { until } => assert!(until > now, "{what}"),
+            Step::Reads => assert_eq!(readers.role(MANY_PEERS, now), ReadRole::Reader, "{what}"),
+            Step::ReadsAmongFew => assert_eq!(readers.role(few, now), ReadRole::Reader, "{what}"),
+            Step::Listens => match readers.role(MANY_PEERS, now) {
+                ReadRole::Reader => panic!("{what}: reads"),
+                ReadRole::Listener { until } => assert!(until > now, "{what}"),
             },
-            Step::Tells(tells) => assert_eq!(roster.own_notice(now).is_some(), tells, "{what}"),
+            Step::Sends(sends) => assert_eq!(readers.local_notice(now).is_some(), sends, "{what}"),
         }
     }
 }
@@ -75,58 +78,76 @@
     ReaderNotice { fingerprint: HELD, read_at, is_heavy }
 }
 
-fn hear(peer: u64, fingerprint: u64) -> Step {
-    Step::Hear { peer, fingerprint, age_ms: 100 }
+fn peer_reads(peer: u64, fingerprint: u64) -> Step {
+    Step::PeerReads { peer, fingerprint, age_ms: 100 }
 }
 
 /// A gateway that three others tell what it holds, and what comes then.
-fn told_case(name: &'static str, steps: &[Step]) -> RosterCase {
-    let told = [Step::Read(HELD), hear(1, HELD), hear(2, HELD), hear(3, HELD), Step::IsTold];
-    RosterCase { name, steps: [&told, steps].concat() }
+fn listener_case(name: &'static str, steps: &[Step]) -> RoleCase {
+    let listening = [
+        Step::Read(HELD),
+        peer_reads(1, HELD),
+        peer_reads(2, HELD),
+        peer_reads(3, HELD),
+        Step::Listens,
+    ];
+    RoleCase { name, steps: [&listening, steps].concat() }
 }
 
 #[test]
-fn who_reads_and_who_is_told() {
+fn roles_follow_from_peer_notices() {
     use Step::*;
     let cases = [
-        RosterCase { name: "knows nothing", steps: vec![Reads, Tells(false)] },
-        RosterCase { name: "nobody else reads", steps: vec![Read(HELD), Reads, Tells(true)] },
-        RosterCase {
+        RoleCase { name: "knows nothing", steps: vec![Reads, Sends(false)] },
+        RoleCase { name: "nobody else reads", steps: vec![Read(HELD), Reads, Sends(true)] },
+        RoleCase {
             name: "two others are too few to leave it to",
-            steps: vec![Read(HELD), hear(1, HELD), hear(2, HELD), Reads],
+            steps: vec![Read(HELD), peer_reads(1, HELD), peer_reads(2, HELD), Reads],
         },
-        RosterCase {
+        RoleCase {
             name: "three before it read",
             steps: vec![
                 Read(HELD),
-                hear(1, HELD),
-                hear(2, HELD),
-                hear(3, HELD),
-                IsTold,
-                Tells(false),
+                peer_reads(1, HELD),
+                peer_reads(2, HELD),
+                peer_reads(3, HELD),
+                Listens,
+                Sends(false),
             ],
         },
-        RosterCase {
+        RoleCase {
             name: "those behind it leave it to this one",
-            steps: vec![Read(HELD), hear(201, HELD), hear(202, HELD), hear(203, HELD), Reads],
+            steps: vec![
+                Read(HELD),
+                peer_reads(201, HELD),
+                peer_reads(202, HELD),
+                peer_reads(203, HELD),
+                Reads,
+            ],
         },
-        RosterCase {
+        RoleCase {
             name: "few gateways read for themselves",
-            steps: vec![Read(HELD), hear(1, HELD), hear(2, HELD), hear(3, HELD), ReadsAmongFew],
+            steps: vec![
+                Read(HELD),
+                peer_reads(1, HELD),
+                peer_reads(2, HELD),
+                peer_reads(3, HELD),
+                ReadsAmongFew,
+            ],
         },
-        RosterCase {
+        RoleCase {
             name: "a failed read is left to those that can, whoever they are",
             steps: vec![
                 Read(HELD),
-                hear(201, HELD),
-                hear(202, HELD),
-                hear(203, HELD),
-                Failed,
-                IsTold,
+                peer_reads(201, HELD),
+                peer_reads(202, HELD),
+                peer_reads(203, HELD),
+                ReadFailed,
+                Listens,
             ],
         },
     ];
-    cases.iter().for_each(play);
+    cases.iter().for_each(run);
 }
 
 /// A reader that freezes, dies or loses the store falls silent towards the
@@ -134,34 +155,45 @@
 /// gateways it told, beyond the time in which its leaving must be known.
 /// Each of them reads for itself once nobody has told it for half of that time.
 #[test]
-fn silent_readers_are_not_waited_for() {
+fn silent_readers_are_replaced_in_time() {
     use Step::*;
-    let old_hear = |peer| Hear { peer, fingerprint: HELD, age_ms: 5000 };
+    let old_read = |peer| PeerReads { peer, fingerprint: HELD, age_ms: 5000 };
     let cases = [
-        told_case("all fall silent", &[Wait(1390), IsTold, Wait(120), Reads]),
-        told_case("one of three goes on", &[Wait(1000), hear(1, HELD), Wait(1000), IsTold]),
-        told_case(
+        listener_case("all fall silent", &[Wait(1390), Listens, Wait(120), Reads]),
+        listener_case(
+            "one of three goes on",
+            &[Wait(1000), peer_reads(1, HELD), Wait(1000), Listens],
+        ),
+        listener_case(
             "a suspended reader tells of an old read",
-            &[Wait(1450), old_hear(1), old_hear(2), old_hear(3), Wait(60), Reads],
+            &[Wait(1450), old_read(1), old_read(2), old_read(3), Wait(60), Reads],
         ),
-        told_case(
+        listener_case(
             "the readers hold what this one lacks: the rows were lost on the way",
-            &[Wait(700), hear(1, OTHER), hear(2, OTHER), hear(3, OTHER), IsTold, Wait(810), Reads],
+            &[
+                Wait(700),
+                peer_reads(1, OTHER),
+                peer_reads(2, OTHER),
+                peer_reads(3, OTHER),
+                Listens,
+                Wait(810),
+                Reads,
+            ],
         ),
-        told_case(
+        listener_case(
             "and the rows come at last",
             &[
                 Wait(700),
-                hear(1, OTHER),
-                hear(2, OTHER),
-                hear(3, OTHER),
-                Told(OTHER),
+                peer_reads(1, OTHER),
+                peer_reads(2, OTHER),
+                peer_reads(3, OTHER),
+                PeerRows(OTHER),
                 Wait(810),
-                IsTold,
+                Listens,
             ],
         ),
     ];
-    cases.iter().for_each(play);
+    cases.iter().for_each(run);
 }
 
 /// Readers die one after the other. If each gateway that notices stepped in at
@@ -169,86 +201,86 @@
 /// death would leave everyone without. Each leaves it to those before it for
 /// 150 ms apiece.
 #[test]
-fn gateways_step_in_one_after_the_other() {
+fn gateways_take_over_one_after_the_other() {
     let now = Instant::now() + Duration::from_secs(60);
-    let stepped_in = |before: usize, after_ms: u64| {
-        let rank = ReaderRank { peers: 78, before };
-        let mut roster = TableReaders::new(OWN, BOUND, 0.0);
-        roster.note_read(HELD, now);
+    let takes_over = |peers_before: usize, after_ms: u64| {
+        let rank = ReaderRank { peers: 78, peers_before };
+        let mut readers = TableReaders::new(LOCAL, BOUND, 0.0);
+        readers.record_read(HELD, now);
         for peer in 1..=3 {
-            roster.hear(peer, notice(now, false));
+            readers.apply_peer_notice(peer, notice(now, false));
         }
-        assert!(matches!(roster.turn(rank, now), ReadRole::Told { .. }));
+        assert!(matches!(readers.role(rank, now), ReadRole::Listener { .. }));
         // The first of the three is heard no longer.
         let mut at = now;
         while at < now + Duration::from_millis(1500 + after_ms) {
             at += Duration::from_millis(50);
             for peer in 2..=3 {
-                roster.hear(peer, notice(at, false));
+                readers.apply_peer_notice(peer, notice(at, false));
             }
-            if roster.turn(rank, at) == ReadRole::Own {
+            if readers.role(rank, at) == ReadRole::Reader {
                 return true;
             }
         }
         false
     };
-    assert!(stepped_in(3, 650), "the fourth steps in");
-    assert!(!stepped_in(3, 500), "but leaves it to three others first");
-    assert!(!stepped_in(40, 3000), "the forty-first leaves it to those before it");
+    assert!(takes_over(3, 650), "the fourth steps in");
+    assert!(!takes_over(3, 500), "but leaves it to three others first");
+    assert!(!takes_over(40, 3000), "the forty-first leaves it to those before it");
 }
 
 /// Guards against instances with small links that read a large table for all: where
 /// others can, they leave it to them, and others relieve them.
 #[test]
-fn small_links_leave_reading_to_others() {
+fn gateways_with_small_links_leave_reading_to_peers() {
     struct Case {
         name: &'static str,
-        own_is_heavy: bool,
+        local_is_heavy: bool,
         readers_are_heavy: bool,
         is_reader: bool,
     }
     let cases = [
         Case {
             name: "light before light ones behind it",
-            own_is_heavy: false,
+            local_is_heavy: false,
             readers_are_heavy: false,
             is_reader: true,
         },
         Case {
             name: "heavy before light ones behind it",
-            own_is_heavy: true,
+            local_is_heavy: true,
             readers_are_heavy: false,
             is_reader: false,
         },
         Case {
             name: "light before heavy ones",
-            own_is_heavy: false,
+            local_is_heavy: false,
             readers_are_heavy: true,
             is_reader: true,
         },
     ];
     for case in cases {
-        let begun = Instant::now() + Duration::from_secs(60);
-        let mut roster = TableReaders::new(OWN, BOUND, 0.5);
-        roster.set_heavy(case.own_is_heavy);
-        roster.note_read(HELD, begun);
+        let started_at = Instant::now() + Duration::from_secs(60);
+        let mut readers = TableReaders::new(LOCAL, BOUND, 0.5);
+        readers.set_heavy(case.local_is_heavy);
+        readers.record_read(HELD, started_at);
         // Three with greater digests read.
         for peer in 201..=203 {
-            roster.hear(peer, notice(begun, case.readers_are_heavy));
+            readers.apply_peer_notice(peer, notice(started_at, case.readers_are_heavy));
         }
-        let is_reader = roster.turn(CROWD, begun) == ReadRole::Own;
+        let is_reader = readers.role(MANY_PEERS, started_at) == ReadRole::Reader;
         assert_eq!(is_reader, case.is_reader, "{}", case.name);
     }
     // One that is told steps in for readers for which it is heavier.
-    let begun = Instant::now() + Duration::from_secs(60);
-    let mut roster = TableReaders::new(OWN, BOUND, 0.5);
-    roster.note_read(HELD, begun);
-    (1..=3).for_each(|peer| roster.hear(peer, notice(begun, false)));
-    assert!(matches!(roster.turn(CROWD, begun), ReadRole::Told { .. }));
-    let steps_in = (1..=60).any(|step| {
-        let now = begun + Duration::from_millis(50) * step;
-        (1..=3).for_each(|peer| roster.hear(peer, notice(now, true)));
-        roster.turn(CROWD, now) == ReadRole::Own
+    let started_at = Instant::now() + Duration::from_secs(60);
+    let mut readers = TableReaders::new(LOCAL, BOUND, 0.5);
+    readers.record_read(HELD, started_at);
+    (1..=3).for_each(|peer| readers.apply_peer_notice(peer, notice(started_at, false)));
+    assert!(matches!(readers.role(MANY_PEERS, started_at), ReadRole::Listener { .. }));
+    let takes_over = (1..=60).any(|step| {
+        let now = started_at + Duration::from_millis(50) * step;
+        (1..=3).for_each(|peer| readers.apply_peer_notice(peer, notice(now, true)));
+        readers.role(MANY_PEERS, now) == ReadRole::Reader
     });
-    assert!(steps_in);
+    assert!(takes_over);
 }
--- a/crates/gateway/tests/table_row_set.rs
+++ b/crates/gateway/tests/table_row_set.rs
@@ -1,4 +1,4 @@
-//! A table's content as one number.
+//! A table's row_set as one number.
 
 use proptest::prelude::*;
 use umberglade_gateway::cluster::TableRowSet;
@@ -7,86 +7,86 @@
 enum Step {
     /// A row says this.
     Row(&'static str, u64, u64),
-    Gone(&'static str, u64),
+    Deleted(&'static str, u64),
 }
 
-struct ContentCase {
+struct RowCase {
     name: &'static str,
     steps: &'static [Step],
     /// What the last step says.
-    is_news: bool,
+    is_changed: bool,
     /// The rows that are there in the end.
     same_as: &'static [Step],
 }
 
-fn take(content: &mut TableRowSet, step: &Step) -> bool {
+fn apply(row_set: &mut TableRowSet, step: &Step) -> bool {
     match *step {
-        Step::Row(key, version, digest) => content.note(key, version, Some(digest)),
-        Step::Gone(key, version) => content.note(key, version, None),
+        Step::Row(key, version, digest) => row_set.record(key, version, Some(digest)),
+        Step::Deleted(key, version) => row_set.record(key, version, None),
     }
 }
 
-fn content_of(steps: &[Step]) -> (TableRowSet, bool) {
-    let mut content = TableRowSet::default();
-    let mut is_news = false;
+fn row_set_of(steps: &[Step]) -> (TableRowSet, bool) {
+    let mut row_set = TableRowSet::default();
+    let mut is_changed = false;
     for step in steps {
-        is_news = take(&mut content, step);
+        is_changed = apply(&mut row_set, step);
     }
-    (content, is_news)
+    (row_set, is_changed)
 }
 
 #[test]
-fn rows_that_say_something_new() {
+fn rows_with_new_content_are_changes() {
     use Step::*;
     let cases = [
-        ContentCase {
+        RowCase {
             name: "first seen",
             steps: &[Row("a", 1, 9)],
-            is_news: true,
+            is_changed: true,
             same_as: &[Row("a", 5, 9)],
         },
-        ContentCase {
+        RowCase {
             name: "renewed with nothing new",
             steps: &[Row("a", 1, 9), Row("a", 2, 9)],
-            is_news: false,
+            is_changed: false,
             same_as: &[Row("a", 1, 9)],
         },
-        ContentCase {
+        RowCase {
             name: "changed",
             steps: &[Row("a", 1, 9), Row("a", 2, 8)],
-            is_news: true,
+            is_changed: true,
             same_as: &[Row("a", 2, 8)],
         },
-        ContentCase {
+        RowCase {
             name: "an older row that comes late",
             steps: &[Row("a", 3, 9), Row("a", 2, 8)],
-            is_news: false,
+            is_changed: false,
             same_as: &[Row("a", 1, 9)],
         },
-        ContentCase {
+        RowCase {
             name: "gone",
-            steps: &[Row("a", 1, 9), Gone("a", 2)],
-            is_news: true,
+            steps: &[Row("a", 1, 9), Deleted("a", 2)],
+            is_changed: true,
             same_as: &[],
         },
-        ContentCase {
+        RowCase {
             name: "an older row does not bring it back",
-            steps: &[Row("a", 1, 9), Gone("a", 3), Row("a", 2, 9)],
-            is_news: false,
+            steps: &[Row("a", 1, 9), Deleted("a", 3), Row("a", 2, 9)],
+            is_changed: false,
             same_as: &[],
         },
-        ContentCase {
+        RowCase {
             name: "a newer one does",
-            steps: &[Row("a", 1, 9), Gone("a", 3), Row("a", 4, 9)],
-            is_news: true,
+            steps: &[Row("a", 1, 9), Deleted("a", 3), Row("a", 4, 9)],
+            is_changed: true,
             same_as: &[Row("a", 1, 9)],
         },
     ];
     for case in cases {
-        let (content, is_news) = content_of(case.steps);
-        assert_eq!(is_news, case.is_news, "{}", case.name);
-        let (expected, _) = content_of(case.same_as);
-        assert_eq!(content.fingerprint(), expected.fingerprint(), "{}", case.name);
+        let (row_set, is_changed) = row_set_of(case.steps);
+        assert_eq!(is_changed, case.is_changed, "{}", case.name);
+        let (expected, _) = row_set_of(case.same_as);
+        assert_eq!(row_set.fingerprint(), expected.fingerprint(), "{}", case.name);
     }
 }
 
@@ -104,40 +104,40 @@
             .enumerate()
             .map(|(at, (key, digest))| (keys[*key], at as u64 + 1, *digest))
             .collect();
-        let mut straight = TableRowSet::default();
+        let mut ordered = TableRowSet::default();
         for (key, version, digest) in &all {
-            straight.note(key, *version, Some(*digest));
+            ordered.record(key, *version, Some(*digest));
         }
         let mut shuffled = all.clone();
         shuffled.sort_by_key(|(_, version, _)| version.wrapping_mul(order | 1));
-        let mut crossed = TableRowSet::default();
+        let mut reordered = TableRowSet::default();
         for (key, version, digest) in shuffled.iter().chain(&all) {
-            crossed.note(key, *version, Some(*digest));
+            reordered.record(key, *version, Some(*digest));
         }
-        prop_assert_eq!(straight.fingerprint(), crossed.fingerprint());
+        prop_assert_eq!(ordered.fingerprint(), reordered.fingerprint());
 
         let newest = keys.iter().filter_map(|key| all.iter().rev().find(|row| row.0 == *key));
         let listed: Vec<(&str, u64, u64)> = newest.copied().collect();
         let mut listing = TableRowSet::default();
-        listing.note("gone", 1, Some(3));
-        let gone = listing.replace(listed.into_iter(), all.len() as u64);
-        prop_assert_eq!(gone, vec!["gone".to_owned()]);
-        prop_assert_eq!(straight.fingerprint(), listing.fingerprint());
+        listing.record("gone", 1, Some(3));
+        let deleted = listing.replace(listed.into_iter(), all.len() as u64);
+        prop_assert_eq!(deleted, vec!["gone".to_owned()]);
+        prop_assert_eq!(ordered.fingerprint(), listing.fingerprint());
     }
 }
 
 /// Servers come and go for as long as a process lives. Each that has left would
 /// be remembered for good.
 #[test]
-fn rows_that_are_gone_are_forgotten_in_the_end() {
-    let mut content = TableRowSet::default();
-    content.note("stays", 1, Some(5));
-    let whole = content.fingerprint();
+fn deleted_rows_are_bounded() {
+    let mut row_set = TableRowSet::default();
+    row_set.record("stays", 1, Some(5));
+    let initial = row_set.fingerprint();
     for at in 0..10_000u64 {
         let key = format!("server-{at}");
-        content.note(&key, at * 2 + 2, Some(9));
-        content.note(&key, at * 2 + 3, None);
+        row_set.record(&key, at * 2 + 2, Some(9));
+        row_set.record(&key, at * 2 + 3, None);
     }
-    assert_eq!(content.fingerprint(), whole);
-    assert!(content.len() < 2_000, "{} rows kept", content.len());
+    assert_eq!(row_set.fingerprint(), initial);
+    assert!(row_set.len() < 2_000, "{} rows kept", row_set.len());
 }
