--- a/crates/gateway/src/cluster/in_force.rs
+++ b/crates/gateway/src/cluster/in_force.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force here.
+//! The configuration that is in force at this gateway.
 
 use std::sync::Arc;
 
@@ -6,10 +6,10 @@
 use crate::model::RouteTable;
 use crate::model::StoreVersion;
 
-/// What became of a configuration that was read.
+/// The outcome of applying a configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InForceChange {
-    /// It is in force now, instead of version `before`.
+    /// It is in force now and replaces version `before`.
     Applied { before: Option<ConfigVersion> },
     /// It is the one in force, or older.
     NotNewer { current: ConfigVersion },
@@ -17,16 +17,15 @@
 
 /// The configuration in force.
 ///
-/// Invariant: its row version never falls. Guards against a late or stale
-/// answer of the store: applied, it would bring dropped routes back and
-/// send requests to services they have left.
+/// Invariant: its row version never decreases. Prevents a late or stale response of the store from
+/// restoring removed routes, which would send requests to services that the routes have left.
 #[derive(Debug, Default)]
 pub struct InForce {
     current: Option<(StoreVersion, Arc<RouteTable>)>,
 }
 
 impl InForce {
-    /// Takes in `table`, read at row version `version`.
+    /// Applies `table`, read at row version `version`, if it is newer than the one in force.
     pub fn apply_if_newer(&mut self, version: StoreVersion, table: RouteTable) -> InForceChange {
         let before = match &self.current {
             Some((known, current)) if version <= *known || table.version <= current.version => {
@@ -39,12 +38,12 @@
         InForceChange::Applied { before }
     }
 
-    /// The version of the row in force, with its table.
+    /// Returns the table in force and the version of its row.
     pub fn current(&self) -> Option<&(StoreVersion, Arc<RouteTable>)> {
         self.current.as_ref()
     }
 
-    /// The table in force; `None` before one is known.
+    /// Returns the table in force; `None` until one is known.
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.current.as_ref().map(|(_, table)| Arc::clone(table))
     }
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -1,4 +1,4 @@
-//! What the other gateways tell: their newest reports, and totals over them.
+//! The newest report of each peer, and totals over all of them.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -22,17 +22,18 @@
 use super::shares_shard;
 use crate::model::ServerIncarnation;
 
-/// After this long without a report a peer no longer counts as live.
+/// How long a peer counts as live after its last report.
 const PEER_RETENTION: Duration = Duration::from_secs(5);
 
-/// How long what a peer has estimates counts: it is told each two seconds and
-/// changes slowly; a peer that has started anew knows nothing for a while.
+/// How long a peer's estimates are used. They are reported every two seconds and change slowly; a
+/// restarted peer has none for a while.
 const ESTIMATES_TTL: Duration = Duration::from_secs(30);
 
-/// A gateway's name as its digest.
+/// The digest of a gateway's name.
 type PeerDigest = u64;
 
-/// A name's digest, as it stands in load reports: 8 bytes instead of about 12.
+/// Returns the digest of a name. Load reports carry digests, which take 8 bytes instead of about
+/// 12.
 pub fn server_digest(name: &str) -> u64 {
     umberglade_wire::digest(name.as_bytes())
 }
@@ -41,10 +42,10 @@
 struct PeerReport {
     incarnation: u64,
     sequence: u64,
-    /// Which report this was of all entry.
+    /// Number of this report among all reports received.
     serial: u64,
     received_at: Instant,
-    /// True while it is part of the totals.
+    /// True while this report is included in the totals.
     is_counted: bool,
     update: PeerUpdate,
 }
@@ -55,7 +56,7 @@
     }
 }
 
-/// A report as it was entry.
+/// A received report, as listed in [`PeerReports::by_age`].
 #[derive(Debug, Clone, Copy)]
 struct ReceivedReport {
     peer: PeerDigest,
@@ -64,7 +65,7 @@
     reach: PeerReach,
 }
 
-/// What a peer has estimates, by service.
+/// A peer's estimates, by service.
 #[derive(Debug)]
 struct PeerEstimates {
     estimates: Vec<(u64, EngineEstimates)>,
@@ -73,29 +74,29 @@
 
 /// The newest report of each peer.
 ///
-/// Reports count for their [`PeerReach::report_lifetime`]. Those that have expired are taken out of
-/// the totals when the next report comes or at the next tick; until then a look
-/// at the totals subtracts them, so that what is read is exact at any moment.
+/// A report is valid for its [`PeerReach::report_lifetime`]. Expired reports are subtracted from
+/// the totals when the next report arrives or at the next tick; until then each lookup subtracts
+/// them, so that the result is exact at any moment.
 #[derive(Debug, Default)]
 pub struct PeerReports {
     reports: FxHashMap<PeerDigest, PeerReport>,
     totals: PeerTotals,
-    /// Invariant: all reports in the totals, those of one life in one queue, oldest
-    /// first; some entries stand for reports that newer ones have replaced.
+    /// Invariant: holds every report that is included in the totals, one queue per report lifetime,
+    /// oldest first. Some entries belong to reports that newer ones have replaced.
     by_age: [VecDeque<ReceivedReport>; 2],
     received: u64,
-    /// When the newest report came.
+    /// When the newest report arrived.
     received_at: Option<Instant>,
     estimates: FxHashMap<PeerDigest, PeerEstimates>,
-    /// Looks at a server's sum so far.
+    /// Number of lookups of a server's totals so far.
     server_lookups: Cell<u64>,
 }
 
 impl PeerReports {
-    /// Takes in a report; false when it is older than the one known.
+    /// Records a report; returns false if it is older than the one known.
     ///
-    /// Guards against datagrams that overtake each other: an older count
-    /// would stand until the next report. A new incarnation starts anew.
+    /// Prevents datagrams that overtake each other from restoring an older count until the next
+    /// report. Sequence numbers are compared within one incarnation only.
     pub fn record(
         &mut self,
         peer: &str,
@@ -138,13 +139,13 @@
         true
     }
 
-    /// True when the table holds a report of this incarnation of `peer`.
+    /// Returns true if a report of this incarnation of `peer` is known.
     pub fn has_report(&self, peer: &str, incarnation: u64) -> bool {
         let known = self.reports.get(&server_digest(peer));
         known.is_some_and(|report| report.incarnation == incarnation)
     }
 
-    /// What live reports say of the server with `digest`.
+    /// Returns the totals of fresh reports for the server with `digest`.
     pub fn server(&self, digest: u64, now: Instant) -> ServerTotals {
         self.server_lookups.set(self.server_lookups.get() + 1);
         let mut sum = self.totals.server(digest);
@@ -152,21 +153,23 @@
         sum
     }
 
-    /// How often [`server`](Self::server) was asked, by which tests bound the
-    /// cost of a decision.
+    /// Returns the number of calls of [`server`](Self::server), by which tests bound the cost of a
+    /// decision.
     pub fn server_lookups(&self) -> u64 {
         self.server_lookups.get()
     }
 
-    /// What live reports say of repeats to the service with `digest`.
+    /// Returns the retries that fresh reports count for the service with `digest`.
     pub fn retries(&self, digest: u64, now: Instant) -> PeerRetries {
         PeerRetries { gateways: self.fresh_count(now), count: self.service(digest, now).retries() }
     }
 
-    /// How many requests for the service with `digest` may take room at other
-    /// gateways before the first of `own`. Of a queue whose first can be on time
-    /// that one alone: the next looks for room only once it has been told of. Of
-    /// one whose first is late, all: those have waited their turn.
+    /// Returns how many requests for the service with `digest` are entitled to capacity at peers
+    /// before the head of the `local` queue.
+    ///
+    /// Where the head of a peer's queue can meet its latency target, only that head counts: the
+    /// next request looks for capacity only after it has been reported. Where the head is past its
+    /// target, the whole queue counts, because all of its requests have waited.
     pub fn queued_ahead(&self, digest: u64, local: &QueueUpdate, now: Instant) -> usize {
         if self.queues(digest, now).waiting == 0 {
             return 0;
@@ -182,29 +185,29 @@
             .sum()
     }
 
-    /// The lines for the service with `digest` at live peers, together.
+    /// Returns the combined queues of live peers for the service with `digest`.
     pub fn queues(&self, digest: u64, now: Instant) -> PeerQueues {
         self.service(digest, now).queues()
     }
 
-    /// True when some live peer has read the store without an outage for the
-    /// last `span`.
+    /// Returns true if some live peer has read the store without an outage for the last `span`.
     pub fn is_store_stable_at_a_peer(&self, span: Duration, now: Instant) -> bool {
-        self.fresh(now).any(|report| report.update.store_calm >= span)
+        self.fresh(now).any(|report| report.update.store_stable_for >= span)
     }
 
-    /// True when this gateway, with digest `own`, is the one to act for all of its
-    /// shard: of those that have read the store for `calm` it has the least digest.
-    /// More than one may think so; who acts must claim the duty first.
+    /// Returns true if this gateway, with digest `local`, should act for its whole shard: it has
+    /// the lowest digest of the gateways that have read the store for `stable_for`.
+    ///
+    /// Several gateways may get true at once, so a candidate must claim leadership before it acts.
     pub fn is_leader_candidate(&self, local: u64, stable_for: Duration, now: Instant) -> bool {
         self.reports
             .iter()
             .filter(|(_, report)| report.is_fresh(now) && report.update.reach == PeerReach::Near)
-            .filter(|(_, report)| report.update.store_calm >= stable_for)
+            .filter(|(_, report)| report.update.store_stable_for >= stable_for)
             .all(|(peer, _)| local < *peer)
     }
 
-    /// The gateway named `peer` tells what it has estimates, by service.
+    /// Records the estimates that the gateway named `peer` reports, by service.
     pub fn record_estimates(
         &mut self,
         peer: &str,
@@ -215,18 +218,18 @@
         self.estimates.insert(server_digest(peer), PeerEstimates { estimates, as_of: now });
     }
 
-    /// What peers have estimates of the service with `digest`.
+    /// Returns the estimates of peers for the service with `digest`.
     pub fn estimates(&self, digest: u64) -> impl Iterator<Item = EngineEstimates> {
         let reported = self.estimates.values().flat_map(|peer| &peer.estimates);
         reported.filter(move |(service, _)| *service == digest).map(|(_, estimates)| *estimates)
     }
 
-    /// Peers that a fresh report has come from.
+    /// Returns the number of peers with a fresh report.
     pub fn fresh_count(&self, now: Instant) -> usize {
         self.fresh(now).count()
     }
 
-    /// Where the gateway with digest `own` stands among those entry.
+    /// Returns the rank of the gateway with digest `local` among the peers with a fresh report.
     pub fn rank(&self, local: u64, now: Instant) -> ReaderRank {
         let mut rank = ReaderRank { peers: 0, peers_before: 0 };
         for (peer, report) in &self.reports {
@@ -238,8 +241,8 @@
         rank
     }
 
-    /// Where the gateway with digest `own` stands among those that may send to `server`, in
-    /// rendezvous order; servers are divided into `shards`.
+    /// Returns the rank of the gateway with digest `local` among those that may send to `server`,
+    /// in rendezvous order; servers are divided into `shards`.
     pub fn limit_rank(&self, local: u64, server: ServerIncarnation, shards: u64) -> LimitRank {
         let mut rank = LimitRank { gateways: 1, before: 0 };
         let local_score = (rendezvous_score(local, server), local);
@@ -250,34 +253,33 @@
         rank
     }
 
-    /// The number of peers in the table, including those whose report is stale.
+    /// Returns the number of known peers, including those whose report is stale.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
 
-    /// True when the table is empty.
     pub fn is_empty(&self) -> bool {
         self.reports.is_empty()
     }
 
-    /// Peers entry within `span`, or within the life of their report.
+    /// Returns the number of peers whose last report is younger than `span` or still fresh.
     pub fn reporting_within(&self, span: Duration, now: Instant) -> usize {
         let age = |report: &PeerReport| now.saturating_duration_since(report.received_at);
         let counts = |report: &&PeerReport| age(report) < span || report.is_fresh(now);
         self.reports.values().filter(counts).count()
     }
 
-    /// True when some peer of another shard is entry.
+    /// Returns true if a peer of another shard has a fresh report.
     pub fn has_remote_peer(&self, now: Instant) -> bool {
         self.fresh(now).any(|report| report.update.reach == PeerReach::Far)
     }
 
-    /// For how long no peer has been entry; `None` while none ever was.
+    /// Returns the time since the last report of any peer; `None` if there has been none.
     pub fn since_last_report(&self, now: Instant) -> Option<Duration> {
         self.received_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Peers entry of lately.
+    /// Returns the number of peers that have reported within `PEER_RETENTION`.
     pub fn live_peers(&self, now: Instant) -> usize {
         self.reports
             .values()
@@ -285,7 +287,7 @@
             .count()
     }
 
-    /// Forgets reports of peers that no longer count.
+    /// Removes reports and estimates whose retention has passed.
     pub fn remove_expired(&mut self, now: Instant) {
         self.subtract_expired(now);
         self.estimates.retain(|_, peer| now.saturating_duration_since(peer.as_of) < ESTIMATES_TTL);
@@ -303,7 +305,7 @@
         self.reports.values().filter(move |report| report.is_fresh(now))
     }
 
-    /// Reports that have expired and are still part of the totals.
+    /// Returns the expired reports that are still included in the totals.
     fn expired(&self, now: Instant) -> impl Iterator<Item = &PeerReport> {
         self.by_age
             .iter()
@@ -314,7 +316,7 @@
             .filter(|report| report.is_counted)
     }
 
-    /// Takes expired reports out of the totals.
+    /// Subtracts expired reports from the totals.
     fn subtract_expired(&mut self, now: Instant) {
         for queue in &mut self.by_age {
             while let Some(entry) = queue.pop_front_if(|entry| has_expired(entry, now)) {
--- a/crates/gateway/src/cluster/peer_totals.rs
+++ b/crates/gateway/src/cluster/peer_totals.rs
@@ -1,4 +1,4 @@
-//! Sums over the reports of all other gateways.
+//! Totals over the reports of all peers.
 
 use rustc_hash::FxHashMap;
 
@@ -8,33 +8,32 @@
 use super::QueueUpdate;
 use super::RetryCount;
 
-/// What the other gateways together tell of one server.
+/// Totals of all peers for one server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServerTotals {
-    /// Their work there.
     pub load: LoadShare,
-    /// How many of them pass it over.
+    /// Number of peers that have ejected the server.
     pub ejections: u32,
-    /// How many of them have told it to change its stage.
+    /// Number of peers that have instructed the server to change its stage.
     pub stage_changes: u32,
 }
 
 impl ServerTotals {
-    /// Takes out what `update` tells of the server with `digest`.
+    /// Subtracts what `update` reports of the server with `digest`.
     pub fn remove(&mut self, update: &PeerUpdate, digest: u64) {
         for (_, load) in update.loads.iter().filter(|(server, _)| *server == digest) {
             self.load = self.load.minus(load.bounded());
         }
         let count = |servers: &[u64]| servers.iter().filter(|server| **server == digest).count();
-        self.ejections -= count(&update.aside) as u32;
-        self.stage_changes -= count(&update.changing) as u32;
+        self.ejections -= count(&update.ejected) as u32;
+        self.stage_changes -= count(&update.stage_changes) as u32;
     }
 }
 
-/// What the other gateways together tell of one service.
+/// Totals of all peers for one service.
 ///
-/// Whole numbers throughout, so that taking a report out again leaves exactly
-/// what there was before it.
+/// All counts are integers, so that subtracting a report restores exactly the value before it was
+/// added.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ServiceTotals {
     requests: u64,
@@ -46,12 +45,12 @@
 }
 
 impl ServiceTotals {
-    /// Requests and repeats.
+    /// Returns the requests and retries of all peers.
     pub fn retries(&self) -> RetryCount {
         RetryCount { requests: saturated(self.requests), repeats: saturated(self.retries) }
     }
 
-    /// Their waiting lines.
+    /// Returns the combined queues of all peers.
     pub fn queues(&self) -> PeerQueues {
         PeerQueues {
             waiting: saturated(self.waiting),
@@ -61,13 +60,13 @@
         }
     }
 
-    /// Takes out what `update` tells of the service with `digest`.
+    /// Subtracts what `update` reports of the service with `digest`.
     pub fn remove(&mut self, update: &PeerUpdate, digest: u64) {
         let is_this = |service: &u64| *service == digest;
         for (_, count) in update.retries.iter().filter(|(service, _)| is_this(service)) {
             self.remove_retries(*count);
         }
-        for (_, queue) in update.lines.iter().filter(|(service, _)| is_this(service)) {
+        for (_, queue) in update.queues.iter().filter(|(service, _)| is_this(service)) {
             self.remove_queue(*queue);
         }
     }
@@ -101,11 +100,11 @@
     u32::try_from(sum).unwrap_or(u32::MAX)
 }
 
-/// The sums, kept up to date as reports are added and removed.
+/// Totals that are kept up to date as reports are added and removed.
 ///
-/// A placement looks at each server once. Summing over the reports each time
-/// instead cost 79 look-ups a server, and 700,000 a placement with 140
-/// engines, which took a small instance's whole processor.
+/// A placement looks up each server once. Summing over the reports at each lookup instead would
+/// take 79 lookups per server and 700,000 per placement with 140 engines, which uses the whole
+/// processor of a small instance.
 ///
 /// Invariant: equal to the sum over all reports added and not removed.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -115,57 +114,57 @@
 }
 
 impl PeerTotals {
-    /// What is told of the server with `digest`.
+    /// Returns the totals for the server with `digest`.
     pub fn server(&self, digest: u64) -> ServerTotals {
         self.servers.get(&digest).copied().unwrap_or_default()
     }
 
-    /// What is told of the service with `digest`.
+    /// Returns the totals for the service with `digest`.
     pub fn service(&self, digest: u64) -> ServiceTotals {
         self.services.get(&digest).copied().unwrap_or_default()
     }
 
-    /// Counts a report.
+    /// Adds a report.
     pub fn add(&mut self, update: &PeerUpdate) {
         for (server, load) in &update.loads {
             let sum = self.servers.entry(*server).or_default();
             sum.load = sum.load.plus(load.bounded());
         }
-        for server in &update.aside {
+        for server in &update.ejected {
             self.servers.entry(*server).or_default().ejections += 1;
         }
-        for server in &update.changing {
+        for server in &update.stage_changes {
             self.servers.entry(*server).or_default().stage_changes += 1;
         }
         for (service, count) in &update.retries {
             self.services.entry(*service).or_default().add_retries(*count);
         }
-        for (service, queue) in &update.lines {
+        for (service, queue) in &update.queues {
             self.services.entry(*service).or_default().add_queue(*queue);
         }
     }
 
-    /// Takes out a report that was counted.
+    /// Subtracts a report that was added before.
     pub fn remove(&mut self, update: &PeerUpdate) {
         for (server, load) in &update.loads {
             self.change_server(*server, |sum| sum.load = sum.load.minus(load.bounded()));
         }
-        for server in &update.aside {
+        for server in &update.ejected {
             self.change_server(*server, |sum| sum.ejections -= 1);
         }
-        for server in &update.changing {
+        for server in &update.stage_changes {
             self.change_server(*server, |sum| sum.stage_changes -= 1);
         }
         for (service, count) in &update.retries {
             self.change_service(*service, |sum| sum.remove_retries(*count));
         }
-        for (service, queue) in &update.lines {
+        for (service, queue) in &update.queues {
             self.change_service(*service, |sum| sum.remove_queue(*queue));
         }
     }
 
-    /// Changes a server's sum; one that has become empty is dropped, so that
-    /// servers long gone take no memory.
+    /// Changes the totals of a server and drops them once they are zero, so that servers that have
+    /// left take no memory.
     fn change_server(&mut self, digest: u64, change: impl FnOnce(&mut ServerTotals)) {
         let sum = self.servers.entry(digest).or_default();
         change(sum);
--- a/crates/gateway/src/cluster/peer_update.rs
+++ b/crates/gateway/src/cluster/peer_update.rs
@@ -1,4 +1,4 @@
-//! What one gateway's report tells the others.
+//! The content of one gateway's report.
 
 use std::time::Duration;
 
@@ -12,22 +12,24 @@
 use super::RetryCount;
 use crate::model::ConfigVersion;
 
-/// How close a gateway is to the one that tells it something.
+/// How close a gateway is to the one that sends it a report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum PeerReach {
-    /// Of the same shard: told of each change.
+    /// In the same shard: receives a report of each change.
     #[default]
     Near,
-    /// Told now and then, without what only concerns the teller's shard.
+    /// In another shard: receives reports at longer intervals, without what only concerns the
+    /// sender's shard.
     Far,
 }
 
 impl PeerReach {
-    /// How long a report counts: a dozen reports at the pace of a small site, and
-    /// two at the slowest of one each 250 ms, so that a lost datagram changes
-    /// nothing. Work of a peer that died ends with its connections, within about as
-    /// long. Far ones are told three times in their report's life.
+    /// Returns how long a report is valid.
+    ///
+    /// For the same shard this is a dozen reports at a small site, and two at the longest interval
+    /// of 250 ms, so that a lost datagram has no effect. Work of a peer that died ends with its
+    /// connections, within about the same time. Remote peers get three reports within a lifetime.
     pub fn report_lifetime(self) -> Duration {
         match self {
             PeerReach::Near => Duration::from_millis(600),
@@ -36,29 +38,29 @@
     }
 }
 
-/// What one report says. Servers and services are named by their digests.
+/// The content of one report. Servers and services are identified by their digests.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct PeerUpdate {
     pub reach: PeerReach,
-    /// Work at each server that has any.
+    /// Load at each server that has any.
     pub loads: Vec<(u64, LoadShare)>,
-    /// Requests and repeats, by service.
+    /// Requests and retries, by service.
     pub retries: Vec<(u64, RetryCount)>,
-    /// Servers the peer passes over.
-    pub aside: SmallVec<[u64; 4]>,
-    /// Requests that wait for engines' room, by service.
-    pub lines: SmallVec<[(u64, QueueUpdate); 1]>,
-    /// For how long the peer has read the servers' table without an outage.
-    pub store_calm: Duration,
-    /// Engines that the peer has told to change their stage.
-    pub changing: SmallVec<[u64; 4]>,
-    /// The configuration in force at the peer; 0 while it knows none.
+    /// Servers that the peer has ejected.
+    pub ejected: SmallVec<[u64; 4]>,
+    /// Requests queued for engine capacity, by service.
+    pub queues: SmallVec<[(u64, QueueUpdate); 1]>,
+    /// How long the peer has read the server table without an outage.
+    pub store_stable_for: Duration,
+    /// Engines that the peer has instructed to change their stage.
+    pub stage_changes: SmallVec<[u64; 4]>,
+    /// Version of the configuration in force at the peer; 0 if it has none.
     pub config: ConfigVersion,
 }
 
 impl PeerUpdate {
-    /// The peer's line for the service with `digest`.
+    /// Returns the peer's queue for the service with `digest`.
     pub fn queue(&self, digest: u64) -> Option<QueueUpdate> {
-        self.lines.iter().find(|(service, _)| *service == digest).map(|(_, queue)| *queue)
+        self.queues.iter().find(|(service, _)| *service == digest).map(|(_, queue)| *queue)
     }
 }
--- a/crates/gateway/src/cluster/retry_budget.rs
+++ b/crates/gateway/src/cluster/retry_budget.rs
@@ -1,5 +1,4 @@
-//! How many repeated sends this gateway may make, so that all gateways
-//! together stay within a service's bound.
+//! Limits the retries of this gateway, so that all gateways together stay within a service's bound.
 
 use std::collections::HashMap;
 use std::collections::VecDeque;
@@ -13,29 +12,29 @@
 use super::server_digest;
 use crate::model::ServiceName;
 
-/// The part of the bound that is used. The rest covers what other gateways
-/// send between two of their reports, and that a window here and one of a
-/// server begin at different moments.
+/// Fraction of the bound that is used. The rest covers what peers send between two of their
+/// reports, and that the windows of a gateway and of a server begin at different moments.
 const USABLE_FRACTION: f64 = 0.75;
-/// How old the others' counts may be, in reports: one may be lost.
+/// Largest age of the peers' counts, in reports: one report may be lost.
 const MAX_COUNT_AGE_REPORTS: u32 = 2;
-/// Counts are kept in this many parts of a window.
+/// Number of buckets that a window is divided into.
 const BUCKETS: u32 = 100;
 
-/// What a repeated send is for.
+/// What a retry is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RetryPriority {
     /// Without it the request fails.
     Needed,
-    /// It only makes another repeat cheaper.
+    /// It only makes another retry cheaper.
     Helpful,
 }
 
 impl RetryPriority {
-    /// The part of the bound that may be used up for it. Helpful repeats
-    /// leave the last of it for needed ones: when three engines crash at
-    /// once, their streams break without. More than that buys nothing:
-    /// streams read in by decode servers hold up others.
+    /// Returns the fraction of the bound that retries of this priority may consume.
+    ///
+    /// Helpful retries leave the rest to needed ones: when three engines crash at once, their
+    /// streams break without it. Leaving less to helpful ones has no benefit, because prompts that
+    /// decode servers prefill themselves delay other streams.
     fn fraction(self) -> f64 {
         match self {
             RetryPriority::Needed => 1.0,
@@ -44,19 +43,19 @@
     }
 }
 
-/// Requests and repeated sends for one service in the last window.
+/// Requests and retries for one service in the last window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RetryCount {
     pub requests: u32,
     pub repeats: u32,
 }
 
-/// What the other gateways tell of one service.
+/// Counts of the peers for one service.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerRetries {
-    /// Gateways that a fresh report has come from.
+    /// Number of peers with a fresh report.
     pub gateways: usize,
-    /// The sum of their counts.
+    /// Sum of their counts.
     pub count: RetryCount,
 }
 
@@ -66,27 +65,26 @@
     count: RetryCount,
 }
 
-/// Repeated sends within a bound shared without a coordinator.
+/// Limits retries to a bound that gateways share without a coordinator.
 ///
-/// Guards against a retry storm: when servers fail, the servers left would
-/// get the failed work again and again. In any window all gateways together
-/// may repeat `ratio` of the requests plus `slack`. Gateways tell each other
-/// their counts, so one whose servers fail may use what the others don't.
-/// The part of a gateway that isn't peers is left to it: cut off from each
-/// other, all still stay within the bound.
+/// Prevents retry storms: when servers fail, the remaining ones would get the failed work again and
+/// again. In any window all gateways together may retry `ratio` of the requests plus `slack`.
+/// Gateways report their counts to each other, so one whose servers fail may use what the others do
+/// not. The share of a gateway that does not report stays reserved for it, so that gateways cut off
+/// from each other still keep within the bound.
 #[derive(Debug)]
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     window: Duration,
-    /// When the process began to count.
+    /// When the process started counting.
     started_at: Instant,
     counts: HashMap<ServiceName, VecDeque<Bucket>>,
 }
 
 impl RetryBudget {
-    /// An allowance of `ratio` of the requests plus `slack`, over all
-    /// gateways, in any `window`.
+    /// Creates a budget of `ratio` of the requests plus `slack`, over all gateways, in any
+    /// `window`.
     pub fn new(ratio: f64, slack: f64, window: Duration, now: Instant) -> Self {
         RetryBudget { ratio, slack, window, started_at: now, counts: HashMap::new() }
     }
@@ -96,18 +94,19 @@
         self.bucket(service, now).requests += 1;
     }
 
-    /// Counts an arrival at `service` that no allowance was asked for: a prompt
-    /// sent for the first time, to a server that rejected it.
+    /// Counts an arrival at `service` that did not consume budget: a prompt's first attempt, at a
+    /// server that rejected it.
     ///
-    /// Guards against a bound that is exceeded unseen: when servers come back
-    /// under new ids, each prompt sent to an old one is rejected and counts.
+    /// Prevents the bound from being exceeded unnoticed: when servers come back under new ids, each
+    /// prompt sent to an old id is rejected and counts.
     pub fn record_retry(&mut self, service: &ServiceName, now: Instant) {
         self.bucket(service, now).repeats += 1;
     }
 
-    /// True when one repeated send may be made; it is then counted.
-    /// `members` is how many gateways there are, this one included.
-    /// `priority` says how much must be left for others.
+    /// Returns true if one retry is allowed, and counts it.
+    ///
+    /// `members` is the number of gateways, including this one. `priority` determines how much must
+    /// be left for other retries.
     pub fn consume(
         &mut self,
         service: &ServiceName,
@@ -131,11 +130,11 @@
         true
     }
 
-    /// True when one more repeat keeps to this gateway's part of what is left.
+    /// Returns true if one more retry keeps within this gateway's share of the remaining budget.
     ///
-    /// Guards against many gateways that each use up what is left before
-    /// they hear of each other: between reports each takes at most its part,
-    /// and where that is under one, a draw decides.
+    /// Prevents many gateways from each consuming the remaining budget before they receive each
+    /// other's reports: between reports each takes at most its share, and a share below one is
+    /// granted at random with that probability.
     fn is_within_local_share(
         &self,
         service: &ServiceName,
@@ -154,7 +153,7 @@
         available >= 1.0 || (available > 0.0 && fastrand::f64() < available)
     }
 
-    /// This gateway's count of each service, for a report to the others.
+    /// Returns this gateway's counts of each service, for a report to its peers.
     pub fn local_counts(&mut self, now: Instant) -> Vec<(u64, RetryCount)> {
         let services: Vec<ServiceName> = self.counts.keys().cloned().collect();
         services
@@ -164,9 +163,10 @@
             .collect()
     }
 
-    /// Guards against a bound used up twice: a process that has just started_at
-    /// does not know what the one before it sent in the same window, so its
-    /// slack grows over one window.
+    /// Returns the fraction of the slack that is available since the process started.
+    ///
+    /// Prevents the bound from being used twice: a new process does not know what the one before it
+    /// sent in the same window, so its slack grows over one window.
     fn uptime_fraction(&self, now: Instant) -> f64 {
         let uptime = now.saturating_duration_since(self.started_at).as_secs_f64();
         (uptime / self.window.as_secs_f64().max(0.001)).min(1.0)
--- a/crates/gateway/src/cluster/table_readers.rs
+++ b/crates/gateway/src/cluster/table_readers.rs
@@ -1,4 +1,4 @@
-//! Which gateways read a table of the store, and which are told by them.
+//! Decides which gateways read a table of the store, and which receive its rows from them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -7,88 +7,86 @@
 
 use super::TableFingerprint;
 
-/// Gateways that read a table for all: two may die or be cut off at once, and
-/// the others still know within a report.
+/// Number of gateways that read a table for their peers: two may die or be cut off at once, and the
+/// others are still up to date within a report.
 const TARGET_READERS: usize = 3;
-/// With fewer other gateways than this each reads for itself: three of eight
-/// reading twice as often save little.
+/// With fewer peers than this, each gateway reads for itself: three of eight gateways that read
+/// twice as often save little.
 const MIN_PEERS: usize = 8;
-/// The part of a table's bound for which another's reading counts as fresh.
-/// What is left is for a read of one's own: a call may wait 0.9 s for its
-/// answer, and bounds are two seconds or more.
+/// Fraction of a table's bound for which a peer's read counts as fresh. The rest is left for a
+/// local read: a call may wait 0.9 s for its response, and bounds are two seconds or more.
 const FRESH_FRACTION: f64 = 0.5;
-/// The part of the bound over which gateways that nobody sends_rows any more spread
-/// their first reads: the first of them tell the others.
+/// Fraction of the bound over which gateways without fresh notices spread their first reads: the
+/// first of them then report to the others.
 const FALLBACK_SPREAD_FRACTION: f64 = 0.1;
-/// How long a gateway leaves it to each one before it to step in for a missing
-/// reader: a read and a report take some 30 ms.
+/// Delay for each gateway that ranks before this one, before this one replaces a missing reader. A
+/// read and a report take about 30 ms.
 const TAKEOVER_DELAY: Duration = Duration::from_millis(150);
-/// How much longer a gateway leaves it to others for which reading takes much of its
-/// link.
+/// Additional delay where reading takes much of this gateway's link.
 const HEAVY_LINK_DELAY: Duration = Duration::from_millis(400);
-/// Over this time gateways step in for readers for which it is heavier.
+/// Window over which gateways take over from readers whose links are loaded more.
 const RELIEF_WINDOW: Duration = Duration::from_secs(3);
-/// The longest time until a gateway that is told looks again.
+/// Longest time until a listener checks its role again.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// One gateway's own reading of a table, as it sends_rows the others.
+/// Notice of a gateway's own read of a table, as reported to its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReaderNotice {
     pub fingerprint: TableFingerprint,
-    /// When the store answered it.
+    /// When the store answered the read.
     pub read_at: Instant,
-    /// True where reading takes much of the reader's link.
+    /// True if reading takes much of the reader's link.
     pub is_heavy: bool,
 }
 
-/// A gateway among those it hears.
+/// A gateway's rank among the peers that report to it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReaderRank {
-    /// Other gateways heard.
+    /// Number of peers with a fresh report.
     pub peers: usize,
-    /// Those of them with a lesser digest.
+    /// Number of those with a lower digest.
     pub peers_before: usize,
 }
 
 /// What a gateway does next about a table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadRole {
-    /// It reads the store, for itself or for all.
+    /// Reads the store, for itself or for its peers.
     Reader,
-    /// What others tell holds; it looks again then.
+    /// Relies on its peers' reads and checks again at `until`.
     Listener { until: Instant },
 }
 
-/// Who reads one table, as one gateway sees it.
+/// The readers of one table, as one gateway sees them.
 ///
-/// Guards against calls to the store that grow with the gateways: each of 195
-/// read for itself once a second, and each change woke all of them. Nothing is
-/// agreed on and nothing is kept: whoever isn't told in time reads for itself,
-/// so frozen, cut off or lying readers cost calls and delay within the bound.
+/// Prevents the number of calls to the store from growing with the number of gateways: 195 gateways
+/// that each read for themselves once a second would also all wake up at each change. There is no
+/// agreement and no stored state: a gateway without fresh notices reads for itself, so frozen,
+/// isolated or lying readers cost calls and delay within the bound.
 #[derive(Debug)]
 pub struct TableReaders {
     local: u64,
-    /// How soon a change must be known.
+    /// Time within which a change must be known.
     bound: Duration,
     notices: FxHashMap<u64, ReaderNotice>,
-    /// Of the content held here.
+    /// Fingerprint of the content held here.
     fingerprint: TableFingerprint,
-    /// The content held here was the store's at this time: by a read of our
-    /// own, or by another's that found the same.
+    /// Latest time at which the content held here matched the store, by a local read or by a peer's
+    /// read with the same fingerprint.
     known_at: Option<Instant>,
     read_at: Option<Instant>,
-    /// True while this gateway reads for all.
+    /// True while this gateway reads for its peers.
     is_reader: bool,
     /// Since when there have been too few readers.
     shortage_since: Option<Instant>,
-    /// True where reading takes much of this gateway's link: others should.
+    /// True if reading takes much of this gateway's link, so that peers should read instead.
     is_heavy: bool,
-    /// From 0 to 1; spreads gateways that fall back to reading.
+    /// Random number from 0 to 1, which spreads gateways that fall back to reading.
     jitter: f64,
 }
 
 impl TableReaders {
-    /// The roster at the gateway with digest `own`, that has read nothing yet.
+    /// Creates the state for the gateway with digest `local`, which has not read the table yet.
     pub fn new(local: u64, bound: Duration, jitter: f64) -> Self {
         TableReaders {
             local,
@@ -104,28 +102,28 @@
         }
     }
 
-    /// The store has answered a read of our own.
+    /// Records that the store answered a local read.
     pub fn record_read(&mut self, fingerprint: TableFingerprint, now: Instant) {
         self.fingerprint = fingerprint;
         self.known_at = Some(now);
         self.read_at = Some(now);
     }
 
-    /// Reading takes much of this gateway's link, or does not.
+    /// Sets whether reading takes much of this gateway's link.
     ///
-    /// Guards against small instances that read a large table for all: their links
-    /// fill up with it, what they tell is late, and all others read too.
+    /// Prevents small instances from reading a large table for their peers: it would fill their
+    /// links and delay their reports, so that all other gateways would read too.
     pub fn set_heavy(&mut self, is_heavy: bool) {
         self.is_heavy = is_heavy;
     }
 
-    /// A read of our own failed: another may be better placed to read for all.
+    /// Records that a local read failed: a peer may be better placed to read for all.
     pub fn record_failure(&mut self) {
         self.is_reader = false;
         self.shortage_since = None;
     }
 
-    /// What another gateway told has been taken in.
+    /// Records that rows from a peer were applied, which leaves content with `fingerprint`.
     pub fn record_peer_rows(&mut self, fingerprint: TableFingerprint) {
         self.fingerprint = fingerprint;
         for notice in self.notices.values() {
@@ -135,7 +133,7 @@
         }
     }
 
-    /// The gateway with digest `peer` has read the store.
+    /// Records that the gateway with digest `peer` has read the store.
     pub fn apply_peer_notice(&mut self, peer: u64, notice: ReaderNotice) {
         self.notices.insert(peer, notice);
         if notice.fingerprint == self.fingerprint && self.known_at.is_some() {
@@ -143,7 +141,7 @@
         }
     }
 
-    /// What to do now.
+    /// Returns this gateway's role at `now`.
     pub fn role(&mut self, rank: ReaderRank, now: Instant) -> ReadRole {
         let freshness_window = self.freshness_window();
         self.notices.retain(|_, notice| is_within(notice.read_at, freshness_window, now));
@@ -167,7 +165,7 @@
         } else {
             let since = *self.shortage_since.get_or_insert(now);
             let delay = match (has_enough, self.is_heavy) {
-                // There are readers, for whom it is heavier.
+                // There are enough readers, but their links are loaded more.
                 (true, _) => RELIEF_WINDOW.mul_f64(self.jitter),
                 (false, false) => TAKEOVER_DELAY * (rank.peers_before as u32 + 1),
                 (false, true) => HEAVY_LINK_DELAY + TAKEOVER_DELAY * (rank.peers_before as u32 + 1),
@@ -179,37 +177,37 @@
         ReadRole::Listener { until: expires_at.min(now + POLL_INTERVAL) }
     }
 
-    /// True when this gateway is one of the few that tell all others of rows.
+    /// Returns true if this gateway is one of the few that send rows to all others.
     pub fn sends_rows(&self, now: Instant) -> bool {
         self.local_notice(now).is_some() && self.readers_before() < TARGET_READERS
     }
 
-    /// Other readers that should read rather than this one.
+    /// Returns the number of peers that take precedence over this gateway as readers.
     fn readers_before(&self) -> usize {
         let local = (self.is_heavy, self.local);
         let is_before = |(peer, notice): &(&u64, &ReaderNotice)| (notice.is_heavy, **peer) < local;
         self.notices.iter().filter(is_before).count()
     }
 
-    /// What the others are told, while this gateway reads for all.
+    /// Returns the notice for this gateway's peers, while it reads for them.
     pub fn local_notice(&self, now: Instant) -> Option<ReaderNotice> {
         let read_at = self.read_at.filter(|at| is_within(*at, self.freshness_window(), now))?;
         let (fingerprint, is_heavy) = (self.fingerprint, self.is_heavy);
         self.is_reader.then_some(ReaderNotice { fingerprint, read_at, is_heavy })
     }
 
-    /// Other gateways that have lately told of a read of theirs.
+    /// Returns the number of peers with a fresh notice of their own read.
     pub fn peer_readers(&self) -> usize {
         self.notices.len()
     }
 
-    /// When the content held here was last the store's, as far as is known.
+    /// Returns when the content held here last matched the store, as far as known.
     pub fn known_at(&self) -> Option<Instant> {
         self.known_at
     }
 
-    /// True when gateways read for each other: those that read do so twice as
-    /// often then, which makes what all know younger for a few calls more.
+    /// Returns true if gateways read for each other. Readers then read twice as often, so that all
+    /// gateways hold more recent content at the cost of a few calls.
     pub fn is_shared(rank: ReaderRank) -> bool {
         rank.peers >= MIN_PEERS
     }
--- a/crates/gateway/src/cluster/table_row_set.rs
+++ b/crates/gateway/src/cluster/table_row_set.rs
@@ -1,47 +1,45 @@
-//! What a table of the store holds, as one number that gateways compare.
+//! The content of a store table, summarised as one number that gateways compare.
 
 use rustc_hash::FxHashMap;
 
 use crate::model::StoreVersion;
 
-/// A digest of what a row says; rows that differ in nothing that matters have
-/// the same.
+/// Digest of a row's content; rows that differ only in irrelevant details have the same digest.
 pub type RowDigest = u64;
-/// A digest of a whole table's content, whatever the order of its rows.
+/// Digest of a whole table's content, independent of the order of its rows.
 pub type TableFingerprint = u64;
 
-/// Rows that are deleted which are remembered at most; far more than change within
-/// the store's history. Without a bound a process that never lists the table
-/// again would keep each server that ever left.
+/// Maximum number of deleted rows that are remembered, far more than change within the store's
+/// history. Without a bound, a process that never lists the table again would keep every server
+/// that ever left.
 const MAX_DELETED_ROWS: usize = 1024;
 
-/// What is known of one row.
+/// The last known state of one row.
 #[derive(Debug, Clone, Copy)]
 struct KnownRow {
     version: StoreVersion,
-    /// `None` once the row is deleted: an older row of it that comes late does not
-    /// bring it back.
+    /// `None` once the row is deleted, so that an older version that arrives late does not restore
+    /// it.
     digest: Option<RowDigest>,
 }
 
 /// The content of one table, by row.
 ///
-/// Servers renew their rows each second and say the same as before. By content
-/// a gateway tells the others only of rows that say something new, and two
-/// gateways know that they hold the same by comparing one number.
+/// Servers renew their rows every second with the same content. Comparing content lets a gateway
+/// send its peers only the rows that changed, and lets two gateways compare their whole tables by
+/// one number.
 #[derive(Debug, Default)]
 pub struct TableRowSet {
     rows: FxHashMap<String, KnownRow>,
-    /// Invariant: the exclusive or of the digests of all rows that are there,
-    /// each keyed_digest with its key's.
+    /// Invariant: the exclusive or of the digests of all present rows, each combined with its key.
     fingerprint: TableFingerprint,
-    /// Rows in `rows` that are deleted, about.
+    /// Approximate number of deleted rows in `rows`.
     deleted: usize,
 }
 
 impl TableRowSet {
-    /// Takes in a row, deleted if `digest` is `None`; true when it says something
-    /// new, false when it is older than the one known or says the same.
+    /// Records a row, deleted if `digest` is `None`. Returns true if its content is new, and false
+    /// if it is older than the known row or has the same content.
     pub fn record(&mut self, key: &str, version: StoreVersion, digest: Option<RowDigest>) -> bool {
         let known = self.rows.get(key).copied();
         if known.is_some_and(|known| known.version > version) {
@@ -63,7 +61,7 @@
         true
     }
 
-    /// Takes in a whole listing as of `version`; the keys of rows that are deleted.
+    /// Replaces the content by a whole listing as of `version`; returns the keys of deleted rows.
     pub fn replace<'a>(
         &mut self,
         rows: impl Iterator<Item = (&'a str, StoreVersion, RowDigest)>,
@@ -78,17 +76,17 @@
         previous.rows.into_iter().filter(|(_, row)| is_deleted(row)).map(|(key, _)| key).collect()
     }
 
-    /// Rows remembered, those that are deleted included.
+    /// Returns the number of remembered rows, including deleted ones.
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// True when no row is remembered.
+    /// Returns true if no row is remembered.
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// The same at two gateways that hold the same content.
+    /// Returns the fingerprint, which is equal at gateways that hold the same content.
     pub fn fingerprint(&self) -> TableFingerprint {
         self.fingerprint
     }
--- a/crates/gateway/src/peers/config_transfer.rs
+++ b/crates/gateway/src/peers/config_transfer.rs
@@ -1,8 +1,7 @@
-//! Hands the configuration in force to other gateways, over TCP.
+//! Transfers the configuration in force between gateways, over TCP.
 //!
-//! A gateway that the store turns away learns from reports that there is a newer
-//! configuration. It takes it from the gateway that told of it: keys that were
-//! taken away stop there too.
+//! A gateway that cannot read the store learns from reports that there is a newer configuration,
+//! and fetches it from the gateway that reported it, so that revoked keys stop working there too.
 
 use std::io;
 use std::net::SocketAddr;
@@ -21,24 +20,24 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How long a gateway leaves it to its own read of the store.
+/// How long to wait for the local read of the store before fetching from a peer.
 const STORE_READ_DELAY: Duration = Duration::from_millis(250);
-/// How long handing over a copy may take.
+/// Time limit for the transfer of one copy.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(600);
-/// The pause after a copy that could not be had.
+/// Delay before the next attempt after a failed fetch.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The pause after a failed accept.
+/// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The largest copy taken, in bytes.
+/// Maximum size of a fetched copy, in bytes.
 const MAX_COPY_BYTES: u64 = 4 * 1024 * 1024;
 
-/// Hands the configuration in force to each gateway that connects, for good.
+/// Sends the configuration in force to each gateway that connects, until the process stops.
 pub async fn serve_config(state: Arc<GatewayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => pool::spawn(send_copy(Arc::clone(&state), stream)),
             Err(error) => {
-                tracing::warn!(event = events::ACCEPT_FAILED, %error, "accept of a gateway failed");
+                tracing::warn!(event = events::ACCEPT_FAILED, %error, "accept of a peer failed");
                 smol::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -55,12 +54,12 @@
         stream.write_all(&bytes).await?;
         stream.close().await
     };
-    // The other side sees a copy that is cut off, and asks again.
+    // After an error the peer sees a truncated copy and asks again.
     let _ = by_deadline(Instant::now() + TRANSFER_TIMEOUT, write).await;
 }
 
-/// Takes newer configurations from gateways that have them, where the store does
-/// not show them in time, for good.
+/// Fetches newer configurations from peers when the store does not show them in time, until the
+/// process stops.
 pub async fn fetch_newer_configs(state: Arc<GatewayState>) {
     loop {
         state.config_due.listen().await;
@@ -78,7 +77,7 @@
                 heard,
                 own,
                 outcome,
-                "asked for the configuration"
+                "configuration requested from a peer"
             );
             if own < heard {
                 smol::Timer::after(RETRY_DELAY).await;
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,13 +1,12 @@
 //! Load reports between gateways, over UDP.
 //!
-//! Each gateway tells the others how much of its own work is at each
-//! server, so that a server's whole load is known within a tenth of a
-//! second, or about as soon as the network carries it. Reports carry
-//! absolute counts: a lost one is made good by the next.
+//! Each gateway reports its own load at each server to its peers, so that a server's whole load is
+//! known within a tenth of a second, or about as soon as the network carries it. Reports carry
+//! absolute counts, so the next report makes up for a lost one.
 //!
-//! The few gateways that read the store's tables tell the others of rows that
-//! say something new; a report names what its sender holds, so that who lacks
-//! a row sees it and reads for itself.
+//! The few gateways that read the store's tables send their peers the rows whose content has
+//! changed. Reports include fingerprints of the sender's tables, by which a gateway that lacks a
+//! row notices it and reads the store itself.
 
 mod config_transfer;
 mod peer_registry;
--- a/crates/gateway/src/peers/peer_registry.rs
+++ b/crates/gateway/src/peers/peer_registry.rs
@@ -1,4 +1,4 @@
-//! Where the other gateways hear reports.
+//! Addresses at which the gateways receive reports.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,31 +8,31 @@
 use crate::cluster::server_digest;
 use crate::cluster::shares_shard;
 
-/// The other gateways' addresses.
+/// The peers' addresses.
 #[derive(Debug, Default)]
 pub struct PeerGroups {
-    /// Those of the same shard.
+    /// Gateways of the same shard.
     pub local_shard: Vec<SocketAddr>,
-    /// The addresses_except, sorted.
+    /// Gateways of other shards, sorted.
     pub remote: Vec<SocketAddr>,
 }
 
-/// Where one gateway hears reports.
+/// One gateway's address for reports.
 #[derive(Debug)]
 struct PeerEntry {
-    /// That of its name.
+    /// Digest of the gateway's name.
     digest: u64,
     address: SocketAddr,
 }
 
-/// Gateways' names and addresses, this one's included.
+/// Names and addresses of all gateways, including this one.
 #[derive(Debug, Default)]
 pub struct PeerRegistry {
     entries: Mutex<HashMap<String, PeerEntry>>,
 }
 
 impl PeerRegistry {
-    /// Notes a gateway; true when it was not known at that address.
+    /// Adds a gateway; returns true if it was not known at that address.
     pub fn insert(&self, peer: &str, address: SocketAddr) -> bool {
         let mut entries = self.entries();
         if entries.get(peer).is_some_and(|known| known.address == address) {
@@ -43,24 +43,22 @@
         true
     }
 
-    /// Forgets a gateway.
     pub fn remove(&self, peer: &str) {
         self.entries().remove(peer);
     }
 
-    /// Forgets all.
     pub fn clear(&self) {
         self.entries().clear();
     }
 
-    /// The addresses of all gateways but `own`.
+    /// Returns the addresses of all gateways except `local`.
     pub fn addresses_except(&self, local: &str) -> Vec<SocketAddr> {
         let entries = self.entries();
         entries.iter().filter(|(peer, _)| *peer != local).map(|(_, entry)| entry.address).collect()
     }
 
-    /// The addresses of all gateways but `own`, by whether they share its one of
-    /// `shards`.
+    /// Returns the addresses of all gateways except `local`, grouped by whether they are in its
+    /// shard, one of `shards`.
     pub fn groups(&self, local: &str, shards: u64) -> PeerGroups {
         if shards == 1 {
             return PeerGroups { local_shard: self.addresses_except(local), remote: Vec::new() };
@@ -78,17 +76,17 @@
         groups
     }
 
-    /// Gateways known.
+    /// Returns the number of known gateways.
     pub fn len(&self) -> usize {
         self.entries().len()
     }
 
-    /// True when none is known.
+    /// Returns true if no gateway is known.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
     fn entries(&self) -> MutexGuard<'_, HashMap<String, PeerEntry>> {
-        self.entries.lock().expect("peer book lock")
+        self.entries.lock().expect("peer registry lock")
     }
 }
--- a/crates/gateway/src/peers/remote_peer_cycle.rs
+++ b/crates/gateway/src/peers/remote_peer_cycle.rs
@@ -1,25 +1,26 @@
-//! Who of the gateways of other shards is told next.
+//! Selects the gateways of other shards that get the next report.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 use std::time::Instant;
 
-/// Goes round the remote gateways, a few with each regular report, so that each is told
-/// once in a interval and nobody's link gets all at a time.
+/// Cycles through the remote gateways, a few with each regular report, so that each gets one report
+/// per interval and no link carries all reports at once.
 #[derive(Debug)]
 pub struct RemotePeerCycle {
-    /// The last that was told.
+    /// The last gateway that was selected.
     last: Option<SocketAddr>,
     sent_at: Instant,
 }
 
 impl RemotePeerCycle {
-    /// A turn that begins at `now`.
+    /// Creates a cycle that starts at `now`.
     pub fn new(now: Instant) -> Self {
         RemotePeerCycle { last: None, sent_at: now }
     }
 
-    /// Those of `remote`, which is sorted, to be told now: all in `interval`.
+    /// Returns the gateways that get a report now, of `remote`, which is sorted. All of them get
+    /// one within `interval`.
     pub fn next(
         &mut self,
         remote: &[SocketAddr],
--- a/crates/gateway/src/peers/report.rs
+++ b/crates/gateway/src/peers/report.rs
@@ -1,4 +1,4 @@
-//! What one gateway tells the others.
+//! Messages between gateways.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -19,60 +19,58 @@
 use crate::model::StoreTable;
 use crate::store::TableNotice;
 
-/// A gateway's work at each server that has any of it.
+/// A gateway's load at each server that has any, and the other updates for its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
     pub peer: String,
-    /// Drawn at each start of the process.
+    /// Random number drawn at each start of the process.
     pub incarnation: u64,
-    /// Grows with each report of an incarnation.
+    /// Increases with each report of an incarnation.
     pub sequence: u64,
-    /// Whom it was written for.
+    /// The gateways that the report is written for.
     pub reach: PeerReach,
-    /// Servers by their digest.
+    /// Load by server digest.
     pub loads: Vec<(u64, LoadShare)>,
-    /// Requests and repeats in the last window; services by their digest.
+    /// Requests and retries in the last window, by service digest.
     pub retries: Vec<(u64, RetryCount)>,
-    /// Servers this gateway passes over after failures of its own.
+    /// Servers that this gateway has ejected after failures of its own requests.
     pub aside: Vec<u64>,
-    /// Requests waiting for engines' room; services by their digest.
+    /// Requests queued for engine capacity, by service digest.
     pub lines: Vec<(u64, QueueUpdate)>,
-    /// Milliseconds for which this gateway has read the servers' table
-    /// without an outage.
+    /// Milliseconds for which this gateway has read the server table without an outage.
     pub store_calm_ms: u64,
-    /// Engines that this gateway has told to change their stage.
+    /// Engines that this gateway has instructed to change their stage.
     pub changing: Vec<u64>,
-    /// What this gateway has learned of engines, by service; `None` in most
-    /// reports, since it changes slowly.
+    /// This gateway's estimates of engines, by service; `None` in most reports, since they change
+    /// slowly.
     pub learned: Option<Vec<(u64, EngineEstimates)>>,
-    /// The configuration in force here; 0 while none is known.
+    /// Version of the configuration in force at this gateway; 0 if it has none.
     pub config: ConfigVersion,
-    /// Tables of the store that this gateway reads for all.
+    /// Tables of the store that this gateway reads for its peers.
     pub tables: Vec<TableNotice>,
-    /// Units charged to organisations' quotas since this incarnation began, by the
-    /// digests of their names.
+    /// Units charged to organisations' quotas since this incarnation started, by digest of the
+    /// organisation's name.
     pub charges: Vec<(OrganisationDigest, ChargeUpdate)>,
     /// Milliseconds for which this incarnation has run.
     pub age_ms: u64,
-    /// What became of sends of contents under which servers may crash.
+    /// Outcomes of attempts with request fingerprints that may crash servers.
     pub outcomes: Vec<OutcomeUpdate>,
     /// Rate limits that servers state.
     pub limits: Vec<LimitUpdate>,
-    /// Servers that have stated that they are leaving.
+    /// Servers that have announced that they are draining.
     pub departures: Vec<ServerIncarnation>,
-    /// Backoffs that servers request from this gateway, and from gateways that have just
-    /// started.
+    /// Backoffs that servers request from this gateway, and from gateways that have just started.
     pub backoffs: Vec<BackoffUpdate>,
 }
 
-/// Rows of one table that one gateway has read and that say something new.
+/// Rows of one table that one gateway has read and whose content has changed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableRows {
     pub table: StoreTable,
     pub rows: Vec<StoreRow>,
 }
 
-/// What a datagram between gateways holds.
+/// Content of a datagram between gateways.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
     Load(Box<LoadReport>),
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -1,4 +1,4 @@
-//! Sends and hears load reports.
+//! Sends and receives load reports.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,23 +24,23 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// The largest datagram sent: some 300 servers with work.
+/// Maximum size of a datagram that is sent: about 300 servers with load.
 pub(super) const MAX_DATAGRAM: usize = 8 * 1024;
-/// How often what was learned of engines is recipients: some 80 bytes a service, and
-/// slow to change.
+/// Interval between full reports, which add engine estimates: about 80 bytes per service, and slow
+/// to change.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// A gateway's first reports, by which others also see that it has just begun and tell
-/// it at once what they tell rarely; the first may be lost.
+/// Number of first reports of a gateway that make its peers send it at once what they report
+/// rarely. More than one, because the first may be lost.
 const STARTUP_REPORTS: u64 = 2;
-/// Between two log lines on datagrams that are no reports: anything on the
-/// network may send any number of them.
+/// Minimum time between two log lines on malformed datagrams: anything on the network may send any
+/// number of them.
 const MALFORMED_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Reports our work to the gateways in `registry`, for good: regularly, and at
-/// once when a stream begins, ends or waits.
+/// Sends reports to the gateways in `registry` until the process stops: at regular intervals, and
+/// at once when a stream starts, ends or is queued.
 ///
-/// Guards against gateways that choose the same engine's last place: with a
-/// view 200 ms old, 79 of them had a third of their streams refused.
+/// Prevents gateways from choosing the same engine's last free slot: with a view that is 200 ms
+/// old, a third of the streams of 79 gateways are rejected.
 pub async fn send_reports(
     state: Arc<GatewayState>,
     registry: Arc<PeerRegistry>,
@@ -59,7 +59,7 @@
             smol::Timer::at(budget.send_at(local_shard.len(), due, Instant::now())).await;
         }
         let newcomers = std::mem::take(&mut *state.newcomers.lock().expect("newcomers lock"));
-        // Chosen again, since a gateway may have been added to the registry during the wait.
+        // Grouped again, since a gateway may have been added to the registry during the wait.
         let PeerGroups { local_shard, remote } = registry.groups(&state.settings.instance, shards);
         let is_full = !newcomers.is_empty() || Instant::now() >= full_report_due;
         if is_full {
@@ -88,12 +88,12 @@
     metrics::counter!("umberglade_report_bytes_total", "reach" => reach)
         .increment((datagram.len() * peers.len()) as u64);
     for address in peers {
-        // A lost report is made good by the next one.
+        // The next report makes up for a lost one.
         let _ = socket.send_to(&datagram, address).await;
     }
 }
 
-/// `report` for gateways of other shards: without what only concerns its own.
+/// Returns `report` for gateways of other shards, without what only concerns its own shard.
 pub fn remote_report(report: &LoadReport, state: &GatewayState) -> LoadReport {
     let now = Instant::now();
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
@@ -122,7 +122,7 @@
     }
 }
 
-/// The report of this moment for gateways of the same shard.
+/// Returns the current report for gateways of the same shard.
 fn report(
     state: &GatewayState,
     incarnation: u64,
@@ -131,7 +131,7 @@
     newcomers: &[u64],
 ) -> LoadReport {
     let now = Instant::now();
-    // One statement a lock: a guard lives to the end of its statement.
+    // Each lock needs its own statement, because its guard lives until the statement ends.
     let loads = state.fleet().local_loads();
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
@@ -162,7 +162,7 @@
     }
 }
 
-/// Takes in the other gateways' reports, for good.
+/// Applies the reports of other gateways until the process stops.
 pub async fn receive_reports(
     state: Arc<GatewayState>,
     registry: Arc<PeerRegistry>,
@@ -181,17 +181,17 @@
                 Err(error) => malformed.record(peer, length, &error),
             },
             Err(error) => {
-                tracing::debug!(%error, "receiving a load report");
+                tracing::debug!(%error, "receiving a load report failed");
                 smol::Timer::after(report_interval(0)).await;
             }
         }
     }
 }
 
-/// Logs datagrams that are no reports, each [`MALFORMED_LOG_INTERVAL`] at most.
+/// Logs malformed datagrams, at most once per [`MALFORMED_LOG_INTERVAL`].
 #[derive(Debug, Default)]
 struct MalformedLog {
-    /// Since the last line.
+    /// Number of datagrams ignored since the last log line.
     ignored: u64,
     logged_at: Option<Instant>,
 }
@@ -204,14 +204,21 @@
             return;
         }
         let ignored = self.ignored;
-        tracing::warn!(event = events::REPORT_UNREADABLE, %peer, bytes, ignored, %error, "no report");
+        tracing::warn!(
+            event = events::REPORT_UNREADABLE,
+            %peer,
+            bytes,
+            ignored,
+            %error,
+            "malformed peer datagrams ignored"
+        );
         self.ignored = 0;
         self.logged_at = Some(Instant::now());
     }
 }
 
-/// A gateway that is not in the registry yet gets reports from now on: the table of
-/// gateways is read rarely.
+/// Adds a gateway that is not in the registry yet, so that it gets reports from now on: the table
+/// of gateways is read rarely.
 fn add_peer(state: &GatewayState, registry: &PeerRegistry, peer: &str, address: SocketAddr) {
     if peer != state.settings.instance && registry.insert(peer, address) {
         state.set_members(registry.len());
@@ -229,10 +236,10 @@
         reach: report.reach,
         loads: report.loads,
         retries: report.retries,
-        aside: report.aside.into(),
-        lines: report.lines.into(),
-        store_calm: Duration::from_millis(report.store_calm_ms),
-        changing: report.changing.into(),
+        ejected: report.aside.into(),
+        queues: report.lines.into(),
+        store_stable_for: Duration::from_millis(report.store_calm_ms),
+        stage_changes: report.changing.into(),
         config: report.config,
     };
     let now = Instant::now();
--- a/crates/gateway/src/peers/row_sender.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -1,4 +1,4 @@
-//! Tells the other gateways of rows read from the store.
+//! Sends rows read from the store to the other gateways.
 
 use std::sync::Arc;
 
@@ -10,28 +10,28 @@
 use super::report_loop::MAX_DATAGRAM;
 use crate::state::GatewayState;
 
-/// The room in a datagram for rows: what is left frames them.
+/// Capacity of a datagram for rows; the rest is left for framing.
 const MAX_ROWS_BYTES: usize = MAX_DATAGRAM - 64;
 
-/// Tells the gateways in `registry` of rows that this one has read for all, for
-/// good.
+/// Sends the rows that this gateway has read for its peers to the gateways in `registry`, until the
+/// process stops.
 pub async fn send_rows(state: Arc<GatewayState>, registry: Arc<PeerRegistry>, socket: UdpSocket) {
     loop {
         let rows_read = state.readings.next_rows().await;
         let peers = registry.addresses_except(&state.settings.instance);
         for datagram in datagrams(rows_read) {
             for address in &peers {
-                // A lost one shows by the fingerprint in the next report.
+                // Peers detect a lost datagram by the fingerprint in the next report.
                 let _ = socket.send_to(&datagram, address).await;
             }
         }
-        // What they hold is to be compared with what this gateway holds.
+        // Sends a report, so that peers can compare their content with this gateway's.
         state.work_changed.notify(1);
     }
 }
 
-/// `rows_read` in as many datagrams as it takes. A row that fits none is left out:
-/// the others see by the fingerprint that they lack it.
+/// Encodes `rows_read` into as many datagrams as needed. A row that fits into none is left out:
+/// peers detect by the fingerprint that they lack it.
 fn datagrams(rows_read: TableRows) -> Vec<Vec<u8>> {
     let table = rows_read.table;
     let mut datagrams = Vec::new();
--- a/crates/gateway/src/peers/send_budget.rs
+++ b/crates/gateway/src/peers/send_budget.rs
@@ -1,40 +1,39 @@
-//! How often a gateway may tell all others of a change.
+//! Limits how often a gateway reports changes to its peers.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Datagrams a second spent on telling of changes at once, besides the regular
-/// reports: a stream is told of four times (it waits, its prompt is read, it runs,
-/// it ends), and changes that wait meet others' choices.
+/// Datagrams per second for immediate reports of changes, in addition to the regular reports. A
+/// stream causes four (queued, prompt prefilled, running, ended), and delayed reports lead to
+/// conflicting choices of other gateways.
 const DATAGRAMS_PER_S: f64 = 1600.0;
-/// Reports that may be sent in a row.
+/// Number of reports that may be sent in a row.
 const BURST_REPORTS: f64 = 4.0;
 
-/// A token bucket of datagrams. Telling of each change at once keeps the
-/// others' view about as old as the network's delay; the bucket bounds its
-/// cost when there are many gateways or many changes, and the view is then
-/// as old as the regular reports.
+/// A token bucket of datagrams.
+///
+/// Immediate reports keep the peers' view about as old as the network delay. The bucket bounds
+/// their cost when there are many gateways or many changes; the view is then as old as the regular
+/// reports.
 #[derive(Debug)]
 pub struct SendBudget {
-    /// Invariant: never above [`BURST_REPORTS`] times the peers last asked
-    /// for; below zero while a report that is paid for waits.
+    /// Invariant: at most [`BURST_REPORTS`] times the last number of peers; negative while a report
+    /// that has consumed its tokens is delayed.
     tokens: f64,
     refilled_at: Instant,
 }
 
 impl SendBudget {
-    /// An empty budget, filled from `now` on.
+    /// Creates an empty budget, refilled from `now` on.
     pub fn new(now: Instant) -> Self {
         SendBudget { tokens: 0.0, refilled_at: now }
     }
 
-    /// When `peers` are told of a change: now, or when the budget allows it,
-    /// or with the regular report at `due` at the latest, which costs the
-    /// budget nothing.
+    /// Returns when to report a change to `peers` gateways: now, once the budget allows it, or at
+    /// the latest with the regular report at `due`, which consumes no tokens.
     ///
-    /// Guards against regular reports that use the budget up: at 79 peers
-    /// they are 400 datagrams a second by themselves, and each change was
-    /// told 70 to 200 ms late.
+    /// Regular reports must not consume the budget: with 79 peers they are 400 datagrams per second
+    /// by themselves, which would delay the report of each change by 70 to 200 ms.
     pub fn send_at(&mut self, peers: usize, due: Instant, now: Instant) -> Instant {
         let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.refilled_at = now;
@@ -45,7 +44,7 @@
         if at >= due {
             return due;
         }
-        // Below zero until `at`, by when the datagrams sent have come back in.
+        // Negative until `at`, when the tokens of the datagrams sent have been refilled.
         self.tokens -= peers as f64;
         at
     }
--- a/crates/gateway/tests/config_watch.rs
+++ b/crates/gateway/tests/config_watch.rs
@@ -1,12 +1,12 @@
-//! What a gateway hears of newer configurations.
+//! How a gateway treats reports of newer configurations.
 
 use std::time::Duration;
 use std::time::Instant;
 
 use umberglade_gateway::cluster::ConfigWatch;
 
-/// Each newer version that is heard of makes one read, however many gateways
-/// tell of it; what this gateway holds or is older makes none.
+/// Each newer reported version causes one read, however many gateways report it; the version in
+/// force and older ones cause none.
 #[test]
 fn each_newer_version_is_read_once() {
     let steps = [(5, false), (4, false), (7, true), (7, false), (6, false), (9, true), (9, false)];
@@ -18,14 +18,13 @@
 
 struct NewestCase {
     name: &'static str,
-    /// When the configuration in force was the store's, in milliseconds before.
+    /// Milliseconds since the configuration in force last matched the store.
     fresh_ms: Option<u64>,
     reported: u64,
     is_newest: bool,
 }
 
-/// Guards against callers who are told that their key is unknown by a gateway that
-/// has missed a configuration.
+/// Prevents a gateway that has missed a configuration from rejecting callers with an unknown key.
 #[test]
 fn only_a_fresh_configuration_is_the_newest() {
     let cases = [
@@ -33,7 +32,7 @@
         NewestCase { name: "just read", fresh_ms: Some(100), reported: 7, is_newest: true },
         NewestCase { name: "read long ago", fresh_ms: Some(3100), reported: 7, is_newest: false },
         NewestCase {
-            name: "another has a newer one",
+            name: "a peer has a newer one",
             fresh_ms: Some(100),
             reported: 8,
             is_newest: false,
@@ -51,7 +50,7 @@
     }
 }
 
-/// Guards against a read of the store for each of many unknown requests.
+/// Prevents a read of the store for each of many unknown requests.
 #[test]
 fn requested_reads_are_rate_limited() {
     let mut watch = ConfigWatch::default();
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -267,8 +267,8 @@
                 }
                 Regained => fleet.store_regained(now),
                 PeerCalm(millis) => {
-                    let store_calm = Duration::from_millis(millis);
-                    let news = PeerUpdate { store_calm, ..PeerUpdate::default() };
+                    let store_stable_for = Duration::from_millis(millis);
+                    let news = PeerUpdate { store_stable_for, ..PeerUpdate::default() };
                     fleet.peers.record("peer", 1, 1, news, now);
                 }
                 Wait(millis) => {
@@ -309,7 +309,7 @@
     fleet.begin_change("a", ServerStage::Decode, now);
     let news = PeerUpdate {
         loads: vec![(earlier, work)],
-        aside: [earlier].into_iter().collect(),
+        ejected: [earlier].into_iter().collect(),
         ..PeerUpdate::default()
     };
     fleet.peers.record("peer", 1, 1, news, now);
--- a/crates/gateway/tests/in_force.rs
+++ b/crates/gateway/tests/in_force.rs
@@ -1,4 +1,4 @@
-//! The configuration in force never goes back.
+//! The version of the configuration in force never decreases.
 
 use std::collections::HashMap;
 
--- a/crates/gateway/tests/line_order.rs
+++ b/crates/gateway/tests/line_order.rs
@@ -83,7 +83,7 @@
         let mut peers = PeerReports::default();
         for (at, line) in case.others.iter().enumerate() {
             let news = PeerUpdate {
-                lines: [(SERVICE, *line)].into_iter().collect(),
+                queues: [(SERVICE, *line)].into_iter().collect(),
                 ..PeerUpdate::default()
             };
             peers.record(&format!("peer-{at}"), 1, 1, news, now);
--- a/crates/gateway/tests/peer_totals.rs
+++ b/crates/gateway/tests/peer_totals.rs
@@ -1,4 +1,4 @@
-//! Sums over the other gateways' reports.
+//! Totals over the reports of peers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -21,10 +21,9 @@
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
-/// How long a report counts.
+/// How long a report is valid.
 const REPORT_LIFETIME: Duration = Duration::from_millis(600);
-/// How long a peer is remembered after its last report, for the order of its
-/// reports.
+/// How long a peer is remembered after its last report, so that late reports are detected.
 const PEER_RETENTION: Duration = Duration::from_secs(5);
 
 const PEERS: [&str; 3] = ["gw-1", "gw-2", "gw-3"];
@@ -39,7 +38,7 @@
 }
 
 fn update() -> impl Strategy<Value = PeerUpdate> {
-    // Counts of any size: a datagram may hold anything.
+    // Counts of any size, since a datagram may contain anything.
     let count = || prop_oneof![4 => 0u32..50, 1 => any::<u32>()];
     let load = (0..SERVERS, count(), count(), count(), count()).prop_map(
         |(server, running, prompt_tokens, output_tokens, made_tokens)| {
@@ -72,12 +71,12 @@
         servers(),
         servers(),
     )
-        .prop_map(|(loads, retries, queue, aside, changing)| PeerUpdate {
+        .prop_map(|(loads, retries, queue, ejected, stage_changes)| PeerUpdate {
             loads,
             retries,
-            lines: queue.into_iter().collect(),
-            aside: aside.into(),
-            changing: changing.into(),
+            queues: queue.into_iter().collect(),
+            ejected: ejected.into(),
+            stage_changes: stage_changes.into(),
             ..PeerUpdate::default()
         })
 }
@@ -95,7 +94,7 @@
     ]
 }
 
-/// The newest reports and when they came, summed anew at each look.
+/// Reference implementation: keeps the newest reports and sums over them at each lookup.
 #[derive(Default)]
 struct ReferenceTotals {
     newest: Vec<(usize, u64, u64, Instant, PeerUpdate)>,
@@ -132,8 +131,8 @@
                 sum.load = sum.load.plus(load.bounded());
             }
             let count = |of: &[u64]| of.iter().filter(|server| **server == digest).count() as u32;
-            sum.ejections += count(&update.aside);
-            sum.stage_changes += count(&update.changing);
+            sum.ejections += count(&update.ejected);
+            sum.stage_changes += count(&update.stage_changes);
         }
         sum
     }
@@ -144,14 +143,14 @@
     }
 
     fn waiting(&self, digest: u64, now: Instant) -> u64 {
-        let queues = self.fresh(now).flat_map(|update| &update.lines);
+        let queues = self.fresh(now).flat_map(|update| &update.queues);
         queues.filter(|(of, _)| *of == digest).map(|(_, queue)| u64::from(queue.waiting)).sum()
     }
 }
 
 proptest! {
-    /// Whatever comes in whatever order, lapses or is replaced: the sums are
-    /// those of the newest reports that still count, to the last token.
+    /// The totals equal the sum over the newest valid reports exactly, in whatever order reports
+    /// arrive, expire or are replaced.
     #[test]
     fn sums_equal_the_sum_over_all_reports(steps in prop::collection::vec(step(), 1..60)) {
         let mut now = Instant::now();
@@ -183,10 +182,10 @@
     }
 }
 
-/// With 140 engines and 79 gateways, each placement summed the reports anew
-/// for each pair of engines: 700,000 look-ups, each 40 ms, on an eighth of a
-/// core. Callers waited for the gateway's own processor, and half of them were
-/// not served. Each server is looked up once now, whatever its peers.
+/// Prevents placements from summing over the reports for each pair of engines: with 140 engines and
+/// 79 gateways this takes 700,000 lookups and 40 ms per placement on an eighth of a core, so that
+/// callers wait for the gateway's own processor and half of them are not served. Each server is
+/// looked up once, however many peers there are.
 #[test]
 fn placement_looks_up_each_server_once() {
     struct Case {
@@ -198,7 +197,7 @@
     let cases = [
         Case { name: "small", peers: 5, decode: 12, prefill: 6 },
         Case { name: "large", peers: 78, decode: 91, prefill: 49 },
-        Case { name: "no reader", peers: 78, decode: 91, prefill: 0 },
+        Case { name: "no prefill server", peers: 78, decode: 91, prefill: 0 },
     ];
     let shape = PromptShape { prompt_tokens: 5000, output_limit: 500, output_estimate: Some(400) };
     let spec = EngineSpec {
@@ -227,7 +226,7 @@
         let gateway = server_digest("gw");
         let need = PlacementRequest { service: "svc", gateway, domain: &domain, tried: &[], now };
         let before = fleet.peers.server_lookups();
-        place_engine(&fleet, &spec, &shape, 0, &need).expect("room");
+        place_engine(&fleet, &spec, &shape, 0, &need).expect("capacity");
         let engines = (case.decode + case.prefill) as u64;
         assert_eq!(fleet.peers.server_lookups() - before, engines, "{}: engines", case.name);
         let before = fleet.peers.server_lookups();
--- a/crates/gateway/tests/peer_traffic.rs
+++ b/crates/gateway/tests/peer_traffic.rs
@@ -1,4 +1,4 @@
-//! What gateways tell each other where there are hundreds of them.
+//! Traffic between hundreds of gateways.
 
 use std::net::Ipv4Addr;
 use std::net::SocketAddr;
@@ -21,15 +21,15 @@
 use umberglade_gateway::peers::SendBudget;
 
 const SERVERS_PER_GATEWAY: usize = 10;
-/// Streams that begin at one gateway in a second, each told of four times.
+/// Streams that start at one gateway per second; each causes four reports.
 const STREAMS_PER_S: usize = 4;
 const CHANGES_PER_STREAM: usize = 4;
-/// Streams of one gateway at a time.
+/// Concurrent streams of one gateway.
 const RUNNING: u64 = 12;
 const SECONDS: u64 = 10;
-/// Of the link of a small instance, 1.25 MB a second, a quarter may go to this.
+/// A quarter of the link of a small instance, which carries 1.25 MB per second.
 const MAX_BYTES_PER_S: f64 = 1.25e6 / 4.0;
-/// IP and UDP headers.
+/// Size of the IP and UDP headers.
 const FRAMING: usize = 28;
 
 fn address(index: usize) -> SocketAddr {
@@ -76,8 +76,8 @@
         + FRAMING
 }
 
-/// Bytes a second that one of `gateways` sends, each of its streams told of as it
-/// changes.
+/// Returns the bytes per second that one of `gateways` sends when it reports each change of its
+/// streams.
 fn bytes_sent_per_s(gateways: usize) -> f64 {
     let shards = shard_count(gateways, gateways * SERVERS_PER_GATEWAY);
     let PeerGroups { local_shard, remote } = registry(gateways).groups("front-0", shards);
@@ -100,8 +100,8 @@
     sent as f64 / SECONDS as f64
 }
 
-/// Guards against links that fill up with what gateways tell each other: it must
-/// not grow with their square, nor take the link of a small instance.
+/// Prevents reports between gateways from filling their links: traffic must not grow with the
+/// square of the number of gateways, nor fill the link of a small instance.
 #[test]
 fn traffic_per_gateway_grows_sublinearly() {
     let few = bytes_sent_per_s(30);
@@ -119,8 +119,7 @@
     shards: u64,
 }
 
-/// Guards against shards in which few gateways or few servers are left to choose
-/// from.
+/// Prevents shards with too few gateways or servers to choose from.
 #[test]
 fn small_sites_are_not_sharded() {
     let cases = [
@@ -139,7 +138,7 @@
     }
 }
 
-/// Guards against shards without their part of the gateways or servers.
+/// Prevents shards with too few or too many of the gateways or servers.
 #[test]
 fn shards_are_about_equal() {
     let shards = shard_count(301, 2700);
@@ -156,7 +155,7 @@
     }
 }
 
-/// Guards against far gateways that are never told, or all at a time.
+/// Prevents remote gateways from getting no reports, or all at the same time.
 #[test]
 fn remote_gateways_are_reached_in_turn() {
     let remote: Vec<SocketAddr> = (1..=263).map(address).collect();
@@ -171,5 +170,5 @@
     }
     reached.sort_unstable();
     reached.dedup();
-    assert!(reached.len() > 250, "{} told in a pace", reached.len());
+    assert!(reached.len() > 250, "{} reached in an interval", reached.len());
 }
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -101,8 +101,8 @@
         }
         Change::PeersPassOver(server, peers) => {
             for peer in 0..peers {
-                let aside = [server_digest(server)].into_iter().collect();
-                let news = PeerUpdate { aside, ..PeerUpdate::default() };
+                let ejected = [server_digest(server)].into_iter().collect();
+                let news = PeerUpdate { ejected, ..PeerUpdate::default() };
                 fleet.peers.record(&format!("peer-{peer}"), 1, 1, news, now);
             }
         }
--- a/crates/gateway/tests/send_budget.rs
+++ b/crates/gateway/tests/report_budget.rs
@@ -1,4 +1,4 @@
-//! How soon the other gateways are told of a change.
+//! How soon changes are reported to the peers.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -6,21 +6,20 @@
 use umberglade_gateway::cluster::report_interval;
 use umberglade_gateway::peers::SendBudget;
 
-/// Changes at one gateway, evenly spread, among its regular reports.
+/// Evenly spread changes at one gateway, in addition to its regular reports.
 struct BudgetCase {
     name: &'static str,
     peers: usize,
     changes_per_s: u32,
-    /// The max_sent that the mean change may wait to be told.
+    /// Maximum mean delay of the report of a change.
     max_mean_delay: Duration,
-    /// The max_sent datagrams for changes in a second.
+    /// Maximum number of datagrams for changes per second.
     max_per_s: usize,
 }
 
-/// A stream is placed, and the gateways that hear of it late choose the same
-/// server: its callers see pauses when the memory runs out. With the regular
-/// reports paid from the same budget, changes at 79 peers waited for the
-/// next regular report.
+/// Gateways that receive the report of a placed stream late choose the same server, and callers see
+/// pauses when its memory runs out. If regular reports consumed the same budget, changes with 79
+/// peers would wait for the next regular report.
 #[test]
 fn changes_are_reported_at_once_within_the_budget() {
     let ms = Duration::from_millis;
@@ -68,8 +67,8 @@
             while due <= now {
                 due += interval;
             }
-            // The loop delays for one report at a time: a change that comes
-            // meanwhile is told with it.
+            // The loop waits for one report at a time, which includes changes that happen
+            // meanwhile.
             if now >= sent_at {
                 sent_at = budget.send_at(case.peers, due, now);
                 if sent_at < due {
--- a/crates/gateway/tests/retry_budget.rs
+++ b/crates/gateway/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Repeated sends of all gateways together, against the service's bound.
+//! Retries of all gateways together, compared with the service's bound.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,15 +14,15 @@
 const SLACK: f64 = 52.0;
 const WINDOW: Duration = Duration::from_secs(10);
 
-/// Gateways with one service, whose reports to each other are `lag` old.
+/// Gateways with one service, which exchange their counts by `report`.
 struct Gateways {
     budgets: Vec<RetryBudget>,
-    /// Counts as reported last, by gateway.
+    /// Last reported counts, by gateway.
     reported: Vec<RetryCount>,
-    /// Which gateways hear each other.
+    /// Whether gateways receive each other's reports.
     are_connected: bool,
     service: ServiceName,
-    /// When each request came, and each repeat.
+    /// Arrival times of requests and times of retries.
     requests: Vec<Instant>,
     repeats: Vec<Instant>,
 }
@@ -80,8 +80,7 @@
         }
     }
 
-    /// The window in which repeats come closest to their bound, as a share
-    /// of it.
+    /// Returns the largest fraction of the bound that retries reach in any window.
     fn peak_fraction(&self) -> f64 {
         let within = |times: &[Instant], end: Instant| {
             times.iter().filter(|at| **at <= end && end.duration_since(**at) < WINDOW).count()
@@ -96,20 +95,19 @@
     }
 }
 
-/// Servers crash at a time of high load: each gateway would repeat every
-/// request it has. Whatever the gateways' shares of the traffic, and whether
-/// they hear each other or not, the service sees no more repeats than its
-/// bound allows.
+/// Servers crash under high load, and each gateway tries to retry every request. Prevents the
+/// service from getting more retries than its bound allows, whatever the gateways' shares of the
+/// traffic and whether or not they receive each other's reports.
 #[test]
 fn all_gateways_together_keep_within_the_bound() {
     struct Case {
         name: &'static str,
         gateways: usize,
         are_connected: bool,
-        /// Requests a second; all come to one gateway in `is_skewed` cases.
+        /// Requests per second; all arrive at one gateway if `is_skewed` is set.
         rate: u32,
         is_skewed: bool,
-        /// The least share of the bound that should be used.
+        /// Minimum fraction of the bound that should be used.
         min_used: f64,
     }
     let cases = [
@@ -122,7 +120,7 @@
             min_used: 0.7,
         },
         Case {
-            name: "one has all",
+            name: "one gets all",
             gateways: 6,
             are_connected: true,
             rate: 80,
@@ -130,7 +128,7 @@
             min_used: 0.7,
         },
         Case {
-            name: "deaf",
+            name: "disconnected",
             gateways: 6,
             are_connected: false,
             rate: 80,
@@ -138,7 +136,7 @@
             min_used: 0.5,
         },
         Case {
-            name: "deaf, skewed",
+            name: "disconnected, skewed",
             gateways: 6,
             are_connected: false,
             rate: 80,
@@ -146,7 +144,7 @@
             min_used: 0.3,
         },
         Case {
-            name: "quiet",
+            name: "low rate",
             gateways: 6,
             are_connected: true,
             rate: 8,
@@ -180,7 +178,7 @@
             let gateway = if case.is_skewed { 0 } else { at as usize % case.gateways };
             gateways.request(gateway, now);
             gateways.repeat(gateway, now);
-            // A report each 50 ms or less often, as between real gateways.
+            // One report every 50 ms or less often, as between real gateways.
             if at % (case.rate / 20).max(1) == 0 {
                 gateways.report(now);
             }
@@ -191,9 +189,8 @@
     }
 }
 
-/// All processes are killed while they repeat as much as they may, and start
-/// again at once, knowing nothing of what was sent before. The window over
-/// both lives must keep the bound.
+/// All processes are killed while they retry as much as allowed, and restart at once without
+/// knowing what was sent before. A window that covers both runs must keep the bound.
 #[test]
 fn a_restart_does_not_renew_the_bound() {
     let started_at = Instant::now();
@@ -219,9 +216,9 @@
     assert!(fraction <= 1.0, "{fraction:.2} of the bound");
 }
 
-/// Three engines crash at once. Their streams need a repeat each to go on;
-/// a second one, by which a prefill server reads the prompt, only makes that
-/// faster. Were both paid alike, streams would break for want of the first.
+/// Three engines crash at once. Their streams need one retry each to continue; a second one, by
+/// which a prefill server prefills the prompt, only makes that faster. Without a reserve, streams
+/// would break for lack of the first.
 #[test]
 fn helpful_repeats_leave_some_for_needed_ones() {
     let started_at = Instant::now();
@@ -239,7 +236,7 @@
 }
 
 proptest! {
-    /// Whatever comes in whichever order, the bound holds.
+    /// The bound holds for any order of requests, retries and reports.
     #[test]
     fn any_traffic_keeps_the_bound(
         steps in prop::collection::vec((0usize..6, 0u64..80, any::<bool>()), 1..600),
@@ -260,9 +257,9 @@
     }
 }
 
-/// Servers crash and come back under new ids at their old addresses. Prompts
-/// sent to the old ids are rejected, and each such arrival counts against the
-/// bound: repeats that are asked for must leave room for them.
+/// Servers crash and come back under new ids at their old addresses. Prompts sent to the old ids
+/// are rejected, and each such arrival counts against the bound, so budgeted retries must leave
+/// capacity for them.
 #[test]
 fn rejected_first_attempts_count_against_the_bound() {
     let started_at = Instant::now();
@@ -272,7 +269,7 @@
         let mut budget = RetryBudget::new(RATIO, SLACK, WINDOW, started_at);
         (0..100).for_each(|_| budget.record_request(&service, now));
         (0..rejected).for_each(|_| budget.record_retry(&service, now));
-        // Further apart than reports may be old, all within one window.
+        // Further apart than the maximum age of reports, all within one window.
         let consume = |at: u32| {
             let later = now + Duration::from_millis(120) * (at + 1);
             budget.consume(&service, 1, PeerRetries::default(), RetryPriority::Needed, later)
--- a/crates/gateway/tests/table_readers.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -1,4 +1,4 @@
-//! Which gateways read a table of the store, and which are told.
+//! Which gateways read a table of the store, and which listen to them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,35 +8,35 @@
 use umberglade_gateway::cluster::ReaderRank;
 use umberglade_gateway::cluster::TableReaders;
 
-/// A change must be known within this.
+/// Time within which a change must be known.
 const BOUND: Duration = Duration::from_secs(3);
-/// What the gateway under test holds, and what it lacks.
+/// Fingerprints of the content that the gateway under test holds, and of content that it lacks.
 const HELD: u64 = 7;
 const OTHER: u64 = 8;
-/// The gateway under test.
+/// Digest of the gateway under test.
 const LOCAL: u64 = 100;
 const MANY_PEERS: ReaderRank = ReaderRank { peers: 78, peers_before: 40 };
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The store answered the gateway with content of this fingerprint.
+    /// The store answers the gateway's read with content of this fingerprint.
     Read(u64),
     ReadFailed,
-    /// Rows told by others were taken in.
+    /// Rows from peers are applied, which leaves this fingerprint.
     PeerRows(u64),
-    /// A peer tells of its own reading, so many milliseconds old.
+    /// A peer reports its own read, which is this many milliseconds old.
     PeerReads {
         peer: u64,
         fingerprint: u64,
         age_ms: u64,
     },
     Wait(u64),
-    /// It decides, and this is what it must do.
+    /// The expected role.
     Reads,
     Listens,
-    /// The same as one of few gateways.
+    /// The expected role among few gateways.
     ReadsAmongFew,
-    /// Whether it tells the others of its reading.
+    /// Whether it sends its peers a notice of its read.
     Sends(bool),
 }
 
@@ -82,7 +82,7 @@
     Step::PeerReads { peer, fingerprint, age_ms: 100 }
 }
 
-/// A gateway that three others tell what it holds, and what comes then.
+/// A gateway that listens to three readers of the content it holds, followed by `steps`.
 fn listener_case(name: &'static str, steps: &[Step]) -> RoleCase {
     let listening = [
         Step::Read(HELD),
@@ -98,14 +98,14 @@
 fn roles_follow_from_peer_notices() {
     use Step::*;
     let cases = [
-        RoleCase { name: "knows nothing", steps: vec![Reads, Sends(false)] },
+        RoleCase { name: "has read nothing", steps: vec![Reads, Sends(false)] },
         RoleCase { name: "nobody else reads", steps: vec![Read(HELD), Reads, Sends(true)] },
         RoleCase {
-            name: "two others are too few to leave it to",
+            name: "two peer readers are too few",
             steps: vec![Read(HELD), peer_reads(1, HELD), peer_reads(2, HELD), Reads],
         },
         RoleCase {
-            name: "three before it read",
+            name: "three peers with lower digests read",
             steps: vec![
                 Read(HELD),
                 peer_reads(1, HELD),
@@ -116,7 +116,7 @@
             ],
         },
         RoleCase {
-            name: "those behind it leave it to this one",
+            name: "peers with higher digests yield to this gateway",
             steps: vec![
                 Read(HELD),
                 peer_reads(201, HELD),
@@ -136,7 +136,7 @@
             ],
         },
         RoleCase {
-            name: "a failed read is left to those that can, whoever they are",
+            name: "after a failed read it leaves reading to any peers that can",
             steps: vec![
                 Read(HELD),
                 peer_reads(201, HELD),
@@ -150,26 +150,25 @@
     cases.iter().for_each(run);
 }
 
-/// A reader that freezes, dies or loses the store falls silent towards the
-/// others. A server that leaves meanwhile would go on getting work from all
-/// gateways it told, beyond the time in which its leaving must be known.
-/// Each of them reads for itself once nobody has told it for half of that time.
+/// A reader that freezes, dies or loses the store stops sending notices. A server that starts
+/// draining meanwhile must not get work from the listening gateways beyond the time in which that
+/// must be known: each of them reads for itself after half of that time without notices.
 #[test]
 fn silent_readers_are_replaced_in_time() {
     use Step::*;
     let old_read = |peer| PeerReads { peer, fingerprint: HELD, age_ms: 5000 };
     let cases = [
-        listener_case("all fall silent", &[Wait(1390), Listens, Wait(120), Reads]),
+        listener_case("all stop sending notices", &[Wait(1390), Listens, Wait(120), Reads]),
         listener_case(
-            "one of three goes on",
+            "one of three continues",
             &[Wait(1000), peer_reads(1, HELD), Wait(1000), Listens],
         ),
         listener_case(
-            "a suspended reader tells of an old read",
+            "a suspended reader reports an old read",
             &[Wait(1450), old_read(1), old_read(2), old_read(3), Wait(60), Reads],
         ),
         listener_case(
-            "the readers hold what this one lacks: the rows were lost on the way",
+            "the readers hold rows that were lost on the way here",
             &[
                 Wait(700),
                 peer_reads(1, OTHER),
@@ -181,7 +180,7 @@
             ],
         ),
         listener_case(
-            "and the rows come at last",
+            "the lost rows arrive later",
             &[
                 Wait(700),
                 peer_reads(1, OTHER),
@@ -196,10 +195,9 @@
     cases.iter().for_each(run);
 }
 
-/// Readers die one after the other. If each gateway that notices stepped in at
-/// once, all would read at the same moment; if none did, the last reader's
-/// death would leave everyone without. Each leaves it to those before it for
-/// 150 ms apiece.
+/// Readers die one after the other. If every gateway that notices took over at once, all would read
+/// at the same moment; if none did, the last reader's death would leave all without rows. Each
+/// waits 150 ms for each gateway that ranks before it.
 #[test]
 fn gateways_take_over_one_after_the_other() {
     let now = Instant::now() + Duration::from_secs(60);
@@ -211,7 +209,7 @@
             readers.apply_peer_notice(peer, notice(now, false));
         }
         assert!(matches!(readers.role(rank, now), ReadRole::Listener { .. }));
-        // The first of the three is heard no longer.
+        // The first of the three sends no more notices.
         let mut at = now;
         while at < now + Duration::from_millis(1500 + after_ms) {
             at += Duration::from_millis(50);
@@ -224,13 +222,13 @@
         }
         false
     };
-    assert!(takes_over(3, 650), "the fourth steps in");
-    assert!(!takes_over(3, 500), "but leaves it to three others first");
-    assert!(!takes_over(40, 3000), "the forty-first leaves it to those before it");
+    assert!(takes_over(3, 650), "the fourth gateway takes over");
+    assert!(!takes_over(3, 500), "the fourth gateway waits for three others first");
+    assert!(!takes_over(40, 3000), "the forty-first gateway waits for those before it");
 }
 
-/// Guards against instances with small links that read a large table for all: where
-/// others can, they leave it to them, and others relieve them.
+/// Prevents instances with small links from reading a large table for their peers: they leave it to
+/// peers that can, and peers take over from them.
 #[test]
 fn gateways_with_small_links_leave_reading_to_peers() {
     struct Case {
@@ -241,19 +239,19 @@
     }
     let cases = [
         Case {
-            name: "light before light ones behind it",
+            name: "light link, light peers with higher digests",
             local_is_heavy: false,
             readers_are_heavy: false,
             is_reader: true,
         },
         Case {
-            name: "heavy before light ones behind it",
+            name: "heavy link, light peers with higher digests",
             local_is_heavy: true,
             readers_are_heavy: false,
             is_reader: false,
         },
         Case {
-            name: "light before heavy ones",
+            name: "light link, heavy peers with higher digests",
             local_is_heavy: false,
             readers_are_heavy: true,
             is_reader: true,
@@ -264,14 +262,14 @@
         let mut readers = TableReaders::new(LOCAL, BOUND, 0.5);
         readers.set_heavy(case.local_is_heavy);
         readers.record_read(HELD, started_at);
-        // Three with greater digests read.
+        // Three peers with higher digests read.
         for peer in 201..=203 {
             readers.apply_peer_notice(peer, notice(started_at, case.readers_are_heavy));
         }
         let is_reader = readers.role(MANY_PEERS, started_at) == ReadRole::Reader;
         assert_eq!(is_reader, case.is_reader, "{}", case.name);
     }
-    // One that is told steps in for readers for which it is heavier.
+    // A listener takes over from readers whose links are loaded more.
     let started_at = Instant::now() + Duration::from_secs(60);
     let mut readers = TableReaders::new(LOCAL, BOUND, 0.5);
     readers.record_read(HELD, started_at);
--- a/crates/gateway/tests/table_row_set.rs
+++ b/crates/gateway/tests/table_row_set.rs
@@ -1,11 +1,11 @@
-//! A table's row_set as one number.
+//! The content of a table as one number.
 
 use proptest::prelude::*;
 use umberglade_gateway::cluster::TableRowSet;
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// A row says this.
+    /// A row with this key, version and content digest.
     Row(&'static str, u64, u64),
     Deleted(&'static str, u64),
 }
@@ -13,9 +13,9 @@
 struct RowCase {
     name: &'static str,
     steps: &'static [Step],
-    /// What the last step says.
+    /// Whether the last step changes the content.
     is_changed: bool,
-    /// The rows that are there in the end.
+    /// Steps that result in the same content.
     same_as: &'static [Step],
 }
 
@@ -46,7 +46,7 @@
             same_as: &[Row("a", 5, 9)],
         },
         RowCase {
-            name: "renewed with nothing new",
+            name: "renewed with the same content",
             steps: &[Row("a", 1, 9), Row("a", 2, 9)],
             is_changed: false,
             same_as: &[Row("a", 1, 9)],
@@ -58,25 +58,25 @@
             same_as: &[Row("a", 2, 8)],
         },
         RowCase {
-            name: "an older row that comes late",
+            name: "an older row that arrives late",
             steps: &[Row("a", 3, 9), Row("a", 2, 8)],
             is_changed: false,
             same_as: &[Row("a", 1, 9)],
         },
         RowCase {
-            name: "gone",
+            name: "deleted",
             steps: &[Row("a", 1, 9), Deleted("a", 2)],
             is_changed: true,
             same_as: &[],
         },
         RowCase {
-            name: "an older row does not bring it back",
+            name: "an older row does not restore a deleted one",
             steps: &[Row("a", 1, 9), Deleted("a", 3), Row("a", 2, 9)],
             is_changed: false,
             same_as: &[],
         },
         RowCase {
-            name: "a newer one does",
+            name: "a newer row restores a deleted one",
             steps: &[Row("a", 1, 9), Deleted("a", 3), Row("a", 4, 9)],
             is_changed: true,
             same_as: &[Row("a", 1, 9)],
@@ -91,8 +91,8 @@
 }
 
 proptest! {
-    /// Two gateways that know the same rows hold the same fingerprint, in
-    /// whatever order and however often they came; a listing says the same.
+    /// Two gateways that know the same rows have the same fingerprint, in whatever order and
+    /// however often the rows arrive, and so does a gateway that reads a listing.
     #[test]
     fn order_does_not_matter(
         rows in proptest::collection::vec((0usize..6, 0u64..4), 1..40),
@@ -126,8 +126,7 @@
     }
 }
 
-/// Servers come and go for as long as a process lives. Each that has left would
-/// be remembered for good.
+/// Prevents a long-running process from remembering every server that has ever left.
 #[test]
 fn deleted_rows_are_bounded() {
     let mut row_set = TableRowSet::default();
