--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -177,8 +177,8 @@
         self.fresh(now)
             .filter_map(|report| {
                 let mut queue = report.update.queue(digest)?;
-                let entry = now.saturating_duration_since(report.received_at);
-                queue.first_age_ms = queue.first_age_ms.saturating_add(entry.as_millis() as u32);
+                let age = now.saturating_duration_since(report.received_at);
+                queue.first_age_ms = queue.first_age_ms.saturating_add(age.as_millis() as u32);
                 let ahead = if queue.is_first_late { queue.waiting } else { 1 };
                 (queue.waiting > 0 && queue.goes_before(local)).then_some(ahead as usize)
             })
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -29,8 +29,8 @@
 /// Interval between full reports, which add engine estimates: about 80 bytes per service, and slow
 /// to change.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// Number of first reports of a gateway that make its peers send it at once what they report
-/// rarely. More than one, because the first may be lost.
+/// Number of first reports that show a gateway has just started, so that its peers send it at once
+/// what they report rarely. More than one, because the first may be lost.
 const STARTUP_REPORTS: u64 = 2;
 /// Minimum time between two log lines on malformed datagrams: anything on the network may send any
 /// number of them.
