--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -9,7 +9,7 @@
 use super::PlacementError;
 use super::PlacementRequest;
 use super::ServerState;
-use super::ServerSum;
+use super::ServerTotals;
 use crate::model::EngineSpec;
 use crate::model::PromptShape;
 use crate::model::ServerKey;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Candidate<'a> {
     pub server_state: &'a ServerState,
-    pub peers: ServerSum,
+    pub peers: ServerTotals,
     /// False while a backoff or the server's rate limit keeps this gateway from sending to it.
     pub may_send: bool,
     /// Cost of failures, both observed by this gateway and reported by peers, in multiples of a
@@ -58,7 +58,7 @@
     /// Returns true when this gateway has ejected the server, or when so many peers have that their
     /// network paths are hardly the cause.
     pub fn is_ejected(&self, now: Instant) -> bool {
-        self.server_state.health.is_ejected(now) || self.peers.aside >= MIN_EJECTING_PEERS
+        self.server_state.health.is_ejected(now) || self.peers.ejections >= MIN_EJECTING_PEERS
     }
 
     /// Returns how full the engine would be with a stream of `shape`, from 0 to 1; `None` when it
@@ -145,8 +145,8 @@
 
 /// Returns the cost of failures observed by this gateway and of ejections by peers. A server that
 /// one peer has ejected is likely down for all, although only that peer's path to it may be.
-fn failure_cost(server_state: &ServerState, peers: ServerSum, now: Instant) -> f64 {
-    let peer_count = f64::from(peers.aside.min(3));
+fn failure_cost(server_state: &ServerState, peers: ServerTotals, now: Instant) -> f64 {
+    let peer_count = f64::from(peers.ejections.min(3));
     server_state.health.failure_fraction(now) * FAILURE_WEIGHT + peer_count * PEER_EJECTION_WEIGHT
 }
 
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -114,7 +114,7 @@
     /// Returns the time until which missing rows may only have expired.
     fn expiry_grace_end(&self, now: Instant) -> Option<Instant> {
         let until = self.grace_until.filter(|until| now < *until)?;
-        (!self.peers.has_read_for(EXPIRY_GRACE_PERIOD, now)).then_some(until)
+        (!self.peers.is_store_stable_at_a_peer(EXPIRY_GRACE_PERIOD, now)).then_some(until)
     }
 
     /// Applies a server's row.
@@ -219,7 +219,7 @@
 
     /// Removes servers whose grace period has ended. Must be called about once a second.
     pub fn tick(&mut self, now: Instant) -> Vec<FleetChange> {
-        self.peers.forget_old(now);
+        self.peers.remove_expired(now);
         self.stage_changes.retain(|_, (_, until)| now < *until);
         if self.has_flow_control() {
             let listed: FxHashSet<ServerIncarnation> =
--- a/crates/gateway/src/cluster/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -5,7 +5,7 @@
 use super::Fleet;
 use super::LoadShare;
 use super::ServerState;
-use super::ServerSum;
+use super::ServerTotals;
 use super::server_shards::shard_count;
 use super::server_shards::shares_shard;
 
@@ -34,13 +34,13 @@
         &'a self,
         service: &str,
         now: Instant,
-    ) -> impl Iterator<Item = (&'a ServerState, ServerSum)> {
+    ) -> impl Iterator<Item = (&'a ServerState, ServerTotals)> {
         let shards = self.shards(service);
         let has_local_shard =
             shards > 1 && self.available_in_shard(service, shards, now).next().is_some();
         self.available_in_shard(service, if has_local_shard { shards } else { 1 }, now)
             .map(move |state| (state, self.peers.server(state.incarnation, now)))
-            .filter(|(_, peer_sum)| peer_sum.changing == 0)
+            .filter(|(_, peer_sum)| peer_sum.stage_changes == 0)
     }
 
     /// Returns the available servers of `service` in this gateway's one of `shards`.
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -79,7 +79,7 @@
 fn is_ours(state: &GatewayState, now: Instant) -> bool {
     let fleet = state.fleet();
     fleet.store_stable_duration(now) >= CALM_TIME
-        && fleet.peers.is_first(state.digest, CALM_TIME, now)
+        && fleet.peers.is_leader_candidate(state.digest, CALM_TIME, now)
 }
 
 async fn act<C: PlatformCodec>(
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -286,9 +286,9 @@
                 }
                 StoreAvailable => fleet.record_store_available(now),
                 PeerStoreStable(millis) => {
-                    let store_calm = Duration::from_millis(millis);
-                    let update = PeerUpdate { store_calm, ..PeerUpdate::default() };
-                    fleet.peers.note("peer", 1, 1, update, now);
+                    let store_stable_for = Duration::from_millis(millis);
+                    let update = PeerUpdate { store_stable_for, ..PeerUpdate::default() };
+                    fleet.peers.record("peer", 1, 1, update, now);
                 }
                 Wait(millis) => {
                     now += Duration::from_millis(millis);
@@ -328,10 +328,10 @@
     fleet.begin_stage_change("a", ServerStage::Decode, now);
     let update = PeerUpdate {
         loads: vec![(earlier, work)],
-        aside: [earlier].into_iter().collect(),
+        ejected: [earlier].into_iter().collect(),
         ..PeerUpdate::default()
     };
-    fleet.peers.note("peer", 1, 1, update, now);
+    fleet.peers.record("peer", 1, 1, update, now);
     let change = fleet.upsert(with_start(entry("a", false), 200), 2);
     assert_eq!(change, Some(FleetChange::Restarted("a".into())));
     fleet.remove_load("a", earlier, work);
@@ -340,7 +340,7 @@
         fleet.available_servers("svc", now).next().expect("an available server");
     assert_ne!(server_state.incarnation, earlier);
     assert_eq!(fleet.load(server_state, now), LoadShare::default());
-    assert_eq!((peers.aside, server_state.health.is_ejected(now)), (0, false));
+    assert_eq!((peers.ejections, server_state.health.is_ejected(now)), (0, false));
     let later = fleet.add_load("a", work, now).expect("a known server");
     fleet.replace_load("a", earlier, work, LoadShare::default());
     fleet.remove_load("a", earlier, work);
@@ -360,7 +360,7 @@
     let mut fleet = Fleet::new(0);
     let now = Instant::now();
     assert!(!fleet.peers.has_report("gw-1", 7));
-    fleet.peers.note("gw-1", 7, 1, PeerUpdate::default(), now);
+    fleet.peers.record("gw-1", 7, 1, PeerUpdate::default(), now);
     assert!(fleet.peers.has_report("gw-1", 7));
     assert!(!fleet.peers.has_report("gw-1", 8));
     fleet.tick(now + Duration::from_secs(6));
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -98,16 +98,16 @@
         Change::PeerLoad(server, running) => {
             let loads = [(server_digest(server), calls(running))].into();
             let update = PeerUpdate { loads, ..PeerUpdate::default() };
-            fleet.peers.note("peer", 1, 1, update, now);
+            fleet.peers.record("peer", 1, 1, update, now);
         }
         Change::Outcome(server, outcome, times) => {
             (0..times).for_each(|_| record(fleet, server, outcome, now));
         }
         Change::PeersEject(server, peers) => {
             for peer in 0..peers {
-                let aside = [server_digest(server)].into_iter().collect();
-                let update = PeerUpdate { aside, ..PeerUpdate::default() };
-                fleet.peers.note(&format!("peer-{peer}"), 1, 1, update, now);
+                let ejected = [server_digest(server)].into_iter().collect();
+                let update = PeerUpdate { ejected, ..PeerUpdate::default() };
+                fleet.peers.record(&format!("peer-{peer}"), 1, 1, update, now);
             }
         }
         Change::Leaving(server) => {
@@ -352,7 +352,7 @@
     for at in 0..50 {
         let mut fleet = fleet(ServerStage::Decode, &[("idle", "z1"), ("used", "z1")]);
         let loads = [(server_digest("used"), streams(1, 0))].into();
-        fleet.peers.note("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
+        fleet.peers.record("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
         let gateway = server_digest(&format!("front-{at}"));
         let request = PlacementRequest { gateway, ..request(&domain, &[], now) };
         let place = place_engine(&fleet, &spec(), &SHAPE, 0, &request).unwrap();
