--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -22,12 +22,12 @@
 use crate::timing::by_deadline;
 
 /// How soon to come back where the next probe is not known to be further off.
-const MIN_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// What is left of a caller's time when waiting for a probe ends.
-const ANSWER_TIME: Duration = Duration::from_millis(200);
+const RESPONSE_RESERVE: Duration = Duration::from_millis(200);
 /// A request that waits for a probe looks this often whether one is due.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// The sends that `call` may make; a refusal when it is held back.
 pub(super) async fn admit<C: PlatformCodec>(
@@ -35,21 +35,26 @@
     call: &Call,
 ) -> Result<Attempts, Response<GatewayBody>> {
     loop {
-        let (held, outcome) = match state.quarantines.admit(call.content) {
+        let (quarantine, outcome) = match state.quarantines.admit(call.fingerprint) {
             QuarantineVerdict::Admitted => return Ok(Attempts::default()),
             QuarantineVerdict::HeldBack(held) => (held, "refused".to_owned()),
-            QuarantineVerdict::Probe(held) => return Ok(probe(state, call, held)),
-            QuarantineVerdict::ProbeDue(held) => {
-                match claim_probe::<C>(state, call.content, held).await {
-                    Ok(true) => return Ok(probe(state, call, held)),
-                    Ok(false) => (held, "refused; another gateway finds out".to_owned()),
-                    Err(error) => (held, format!("refused; probe not claimed: {error}")),
+            QuarantineVerdict::Probe(quarantine) => return Ok(new_probe(state, call, quarantine)),
+            QuarantineVerdict::ProbeDue(quarantine) => {
+                match claim_probe::<C>(state, call.fingerprint, quarantine).await {
+                    Ok(true) => return Ok(new_probe(state, call, quarantine)),
+                    Ok(false) => (quarantine, "refused; another gateway finds out".to_owned()),
+                    Err(error) => (quarantine, format!("refused; probe not claimed: {error}")),
                 }
             }
         };
-        if !wait_for_probe(state, call, held).await {
-            log_held(call, held, 0, &outcome);
-            return Err(reject_call(call, Rejection::Quarantined, Some(retry_after(held)), 0));
+        if !wait_for_probe(state, call, quarantine).await {
+            log_quarantined(call, quarantine, 0, &outcome);
+            return Err(reject_call(
+                call,
+                Rejection::Quarantined,
+                Some(retry_after(quarantine)),
+                0,
+            ));
         }
     }
 }
@@ -59,41 +64,46 @@
 pub(super) async fn wait_for_probe(
     state: &GatewayState,
     call: &Call,
-    held: QuarantineStatus,
+    quarantine: QuarantineStatus,
 ) -> bool {
-    let has_time = call.time_left(Instant::now()) > ANSWER_TIME;
-    if !held.is_undecided || !has_time {
+    let has_time = call.time_left(Instant::now()) > RESPONSE_RESERVE;
+    if !quarantine.is_undecided || !has_time {
         return false;
     }
-    by_deadline(Instant::now() + LOOK_AGAIN, state.room.listen()).await;
+    by_deadline(Instant::now() + POLL_INTERVAL, state.room.listen()).await;
     true
 }
 
 /// The sends of the one request that is let through.
-fn probe(state: &Arc<GatewayState>, call: &Call, held: QuarantineStatus) -> Attempts {
-    log_held(call, held, 0, "let through to find out");
-    Attempts::probe(ProbeGuard::new(state, call.content))
+fn new_probe(state: &Arc<GatewayState>, call: &Call, quarantine: QuarantineStatus) -> Attempts {
+    log_quarantined(call, quarantine, 0, "let through to find out");
+    Attempts::probe(ProbeGuard::new(state, call.fingerprint))
 }
 
 /// When a caller of what is held back may come back.
-pub(super) fn retry_after(held: QuarantineStatus) -> Duration {
-    held.left.max(MIN_RETRY)
+pub(super) fn retry_after(quarantine: QuarantineStatus) -> Duration {
+    quarantine.left.max(MIN_RETRY_AFTER)
 }
 
 /// Logs what decided that `call` is held back after `sends` sends, or let
 /// through.
-pub(super) fn log_held(call: &Call, held: QuarantineStatus, sends: u32, outcome: &str) {
+pub(super) fn log_quarantined(
+    call: &Call,
+    quarantine: QuarantineStatus,
+    sends: u32,
+    outcome: &str,
+) {
     metrics::counter!("umberglade_calls_held_total").increment(1);
     tracing::info!(
         event = events::CALL_HELD_BACK,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = content_key(call.fingerprint),
         service = %call.service,
-        crashes = held.crashes,
-        probes = held.probes,
-        row_version = held.version,
-        held_ms = held.age.as_millis() as u64,
-        left_ms = held.left.as_millis() as u64,
+        crashes = quarantine.crashes,
+        probes = quarantine.probes,
+        row_version = quarantine.version,
+        held_ms = quarantine.age.as_millis() as u64,
+        left_ms = quarantine.left.as_millis() as u64,
         sends,
         outcome,
         "servers crash under such requests"
--- a/crates/gateway/src/forward/cache_guard.rs
+++ b/crates/gateway/src/forward/cache_guard.rs
@@ -32,7 +32,7 @@
     target: SendTarget,
     source: Option<CacheSource>,
     request_id: String,
-    made_at: Instant,
+    created_at: Instant,
     codec: std::marker::PhantomData<C>,
 }
 
@@ -49,7 +49,7 @@
             target,
             source: Some(source),
             request_id: request_id.to_owned(),
-            made_at: Instant::now(),
+            created_at: Instant::now(),
             codec: std::marker::PhantomData,
         }
     }
@@ -65,13 +65,13 @@
     pub fn is_fresh(&self, ttl: Duration) -> bool {
         let fleet = self.state.fleet();
         let server_state = fleet.server(&self.target.server);
-        let is_same_start =
-            server_state.is_some_and(|of| of.incarnation == self.target.incarnation);
-        is_same_start && self.made_at.elapsed() + FETCH_MARGIN < ttl
+        let is_same_incarnation = server_state
+            .is_some_and(|server_state| server_state.incarnation == self.target.incarnation);
+        is_same_incarnation && self.created_at.elapsed() + FETCH_MARGIN < ttl
     }
 
     /// A decode server has the cache.
-    pub fn taken(mut self) {
+    pub fn disarm(mut self) {
         self.source = None;
     }
 }
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -35,7 +35,7 @@
     /// What it is charged to its organisation's quota, if there is one.
     pub charge: Option<QuotaCharge>,
     /// The same for each try of the same request.
-    pub content: RequestFingerprint,
+    pub fingerprint: RequestFingerprint,
     pub route: Arc<Route>,
     pub service: ServiceName,
     pub spec: ServiceSpec,
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -9,7 +9,7 @@
 use super::Call;
 use super::GatewayBody;
 use super::Rejection;
-use super::admit::log_held;
+use super::admit::log_quarantined;
 use super::admit::retry_after;
 use super::attempts::Attempts;
 use super::reject::next_send_after;
@@ -36,20 +36,20 @@
 
 /// From the room's being found to the first event, where what is learned of it
 /// is not asked for.
-pub(super) const FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
+pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
 /// The first in line looks again this often: room at a server may come free
 /// without any event of ours.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// Within this the others usually know who is first here: a report takes a hop
 /// of under two milliseconds, and a wake-up at each end. Where its sender has told
 /// of much else it waits up to 50 ms for its budget, and two may meet.
-const TELL_TIME: Duration = Duration::from_millis(25);
+const REPORT_PROPAGATION_DELAY: Duration = Duration::from_millis(25);
 /// How soon to come back when a service has no server at all: about the
 /// time in which a new one registers.
-const NO_SERVER_RETRY: Duration = Duration::from_millis(1000);
+const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(1000);
 /// Callers give up on a stream after the longest of this, four target
 /// latencies and eight target gaps without an event.
-const MIN_GIVE_UP: Duration = Duration::from_secs(2);
+const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Room for a stream: the work is counted at both servers.
 pub(super) struct PlacedStream {
@@ -70,7 +70,7 @@
         let now = Instant::now();
         self.state
             .service_queues
-            .with_line(&self.call.service, |line| line.leave(self.ticket, self.is_placed, now));
+            .with_line(&self.call.service, |queue| queue.leave(self.ticket, self.is_placed, now));
         self.state.room.notify(usize::MAX);
     }
 }
@@ -85,75 +85,85 @@
     shape: &PromptShape,
 ) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
-    let learned = state.learned(&call.service);
-    let run_time = learned.outputs.run_time(shape.expected_output());
-    let asker = QueueRequest {
-        occupancy: occupancy(shape, learned.opening.likely() + run_time),
-        on_time_until: on_time_until(call, &learned.opening),
+    let estimates = state.learned(&call.service);
+    let run_time = estimates.outputs.run_time(shape.expected_output());
+    let queue_request = QueueRequest {
+        occupancy: kv_token_millis(shape, estimates.opening.likely() + run_time),
+        on_time_until: latest_on_time_start(call, &estimates.opening),
         tried_for: call.tried_for,
     };
-    let give_up = give_up_at(call, run_time);
-    let patience = give_up.saturating_duration_since(now);
-    let others = state.other_lines(&call.service);
+    let deadline = queue_deadline(call, run_time);
+    let max_wait = deadline.saturating_duration_since(now);
+    let peers = state.other_lines(&call.service);
     let joined = state
         .service_queues
-        .with_line(&call.service, |line| line.join(asker, patience, others, now));
-    let ticket = joined.map_err(|refusal| {
-        log_no_room(state, call, others, refusal.predicted);
-        reject_call(call, Rejection::NoRoom, Some(refusal.retry_after), 0)
+        .with_line(&call.service, |queue| queue.join(queue_request, max_wait, peers, now));
+    let ticket = joined.map_err(|rejection| {
+        log_no_capacity(state, call, peers, rejection.predicted);
+        reject_call(call, Rejection::NoRoom, Some(rejection.retry_after), 0)
     })?;
-    let mut place = QueueTicket { state, call, ticket, is_placed: false };
-    let mut is_told = false;
+    let mut queue_ticket = QueueTicket { state, call, ticket, is_placed: false };
+    let mut is_reported = false;
     loop {
-        let woken = state.room.listen();
-        let held = attempts.held_back(state, call);
-        let is_undecided = held.is_some_and(|held| held.is_undecided);
-        if let Some(held) = held.filter(|_| !is_undecided) {
-            log_held(call, held, 0, "left the line");
-            return Err(reject_call(call, Rejection::Quarantined, Some(retry_after(held)), 0));
+        let wakeup = state.room.listen();
+        let quarantine = attempts.quarantine_status(state, call);
+        let is_undecided = quarantine.is_some_and(|quarantine| quarantine.is_undecided);
+        if let Some(quarantine) = quarantine.filter(|_| !is_undecided) {
+            log_quarantined(call, quarantine, 0, "left the line");
+            return Err(reject_call(
+                call,
+                Rejection::Quarantined,
+                Some(retry_after(quarantine)),
+                0,
+            ));
         }
         let now = Instant::now();
-        let leads =
-            state.service_queues.with_line(&call.service, |line| line.leads_since(ticket, now));
-        let tries_at = leads.map(|since| tries_at(state, call, since));
-        if tries_at.is_some_and(|at| now < at) && !is_told {
+        let head_since =
+            state.service_queues.with_line(&call.service, |queue| queue.leads_since(ticket, now));
+        let earliest_placement = head_since.map(|since| earliest_placement(state, call, since));
+        if earliest_placement.is_some_and(|at| now < at) && !is_reported {
             state.work_changed.notify(1);
-            is_told = true;
+            is_reported = true;
         }
-        if tries_at.is_some_and(|at| now >= at) && !is_undecided {
+        if earliest_placement.is_some_and(|at| now >= at) && !is_undecided {
             match try_place(state, call, spec, shape) {
                 Ok(placed) => {
-                    place.is_placed = true;
+                    queue_ticket.is_placed = true;
                     return Ok(placed);
                 }
                 Err(PlacementError::NoServer) => {
-                    return Err(reject_call(call, Rejection::NoServer, Some(NO_SERVER_RETRY), 0));
+                    return Err(reject_call(
+                        call,
+                        Rejection::NoServer,
+                        Some(NO_SERVER_RETRY_AFTER),
+                        0,
+                    ));
                 }
-                Err(PlacementError::NoRoom) if is_rate_limited_until(state, call, give_up) => {
+                Err(PlacementError::NoRoom) if is_rate_limited_until(state, call, deadline) => {
                     let after = next_send_after(state, call, now);
                     return Err(reject_call(call, Rejection::RateLimited, after, 0));
                 }
                 Err(PlacementError::NoRoom) => {
                     state.service_queues.with_line(&call.service, AdmissionQueue::note_no_room);
-                    if !is_told {
+                    if !is_reported {
                         state.work_changed.notify(1);
-                        is_told = true;
+                        is_reported = true;
                     }
                 }
             }
         }
-        if now >= give_up {
-            let after = room_after(state, call);
-            log_no_room(state, call, state.other_lines(&call.service), after);
+        if now >= deadline {
+            let after = capacity_retry_after(state, call);
+            log_no_capacity(state, call, state.other_lines(&call.service), after);
             return Err(reject_call(call, Rejection::NoRoom, Some(after), 0));
         }
-        let look_at = match tries_at {
+        let poll_at = match earliest_placement {
             Some(at) if now < at => at,
-            Some(_) => now + LOOK_AGAIN,
-            None if is_undecided => now + LOOK_AGAIN,
-            None => give_up,
+            Some(_) => now + POLL_INTERVAL,
+            None if is_undecided => now + POLL_INTERVAL,
+            None => deadline,
         };
-        by_deadline(look_at.min(give_up), woken).await;
+        by_deadline(poll_at.min(deadline), wakeup).await;
     }
 }
 
@@ -165,8 +175,12 @@
 /// the first of all until the others' reports say otherwise. A quarter of what
 /// 79 gateways placed in a burst was rejected by a full engine, its prompt read
 /// for nothing.
-fn tries_at(state: &GatewayState, call: &Call, since: Instant) -> Instant {
-    if state.other_lines(&call.service).waiting == 0 { since } else { since + TELL_TIME }
+fn earliest_placement(state: &GatewayState, call: &Call, since: Instant) -> Instant {
+    if state.other_lines(&call.service).waiting == 0 {
+        since
+    } else {
+        since + REPORT_PROPAGATION_DELAY
+    }
 }
 
 /// True when the rate limits allow this gateway no request to a server that decodes
@@ -177,20 +191,20 @@
 }
 
 /// When the lines ahead should have passed.
-pub(super) fn room_after(state: &GatewayState, call: &Call) -> Duration {
-    let others = state.other_lines(&call.service);
-    state.service_queues.with_line(&call.service, |line| line.retry_after(others, Instant::now()))
+pub(super) fn capacity_retry_after(state: &GatewayState, call: &Call) -> Duration {
+    let peers = state.other_lines(&call.service);
+    state.service_queues.with_line(&call.service, |queue| queue.retry_after(peers, Instant::now()))
 }
 
 /// Logs what decided that a request finds no room.
-fn log_no_room(state: &GatewayState, call: &Call, others: PeerQueues, predicted: Duration) {
-    let waiting = state.service_queues.with_line(&call.service, |line| line.len());
+fn log_no_capacity(state: &GatewayState, call: &Call, peers: PeerQueues, predicted: Duration) {
+    let waiting = state.service_queues.with_line(&call.service, |queue| queue.len());
     let now = Instant::now();
     let fleet = state.fleet();
     let (mut servers, mut running) = (0, 0);
-    for (server_state, others) in fleet.open_servers(&call.service, now) {
+    for (server_state, peer_load) in fleet.open_servers(&call.service, now) {
         servers += 1;
-        running += server_state.own.plus(others.load).running;
+        running += server_state.own.plus(peer_load.load).running;
     }
     tracing::info!(
         event = events::NO_ROOM,
@@ -200,8 +214,8 @@
         servers,
         running,
         waiting,
-        waiting_elsewhere = others.waiting,
-        pace_elsewhere = others.pace,
+        waiting_elsewhere = peers.waiting,
+        pace_elsewhere = peers.pace,
         gateways_heard = fleet.peers.heard(now),
         predicted_ms = predicted.as_millis() as u64,
         waited_ms = call.age_ms(),
@@ -211,9 +225,9 @@
 
 /// What a stream of `shape` that stays for `stay` takes of an engine: half of
 /// its answer is held on the mean.
-fn occupancy(shape: &PromptShape, stay: Duration) -> u64 {
-    let held = u64::from(shape.prompt_tokens) + u64::from(shape.expected_output()) / 2;
-    held.saturating_mul(stay.as_millis() as u64)
+fn kv_token_millis(shape: &PromptShape, stay: Duration) -> u64 {
+    let kv_tokens = u64::from(shape.prompt_tokens) + u64::from(shape.expected_output()) / 2;
+    kv_tokens.saturating_mul(stay.as_millis() as u64)
 }
 
 /// Until when an answer begun, which takes `opening` to its first event, is
@@ -222,8 +236,8 @@
 /// The target counts from the caller's first try. Guards against callers who
 /// come back after a refusal, late in any case, taking room from those who
 /// could still be on time.
-fn on_time_until(call: &Call, opening: &FirstEventTime) -> Instant {
-    let target = call.route.target_latency.unwrap_or(MIN_GIVE_UP);
+fn latest_on_time_start(call: &Call, opening: &FirstEventTime) -> Instant {
+    let target = call.route.target_latency.unwrap_or(MIN_CALLER_TIMEOUT);
     call.arrived + opening.latest_start(target).saturating_sub(call.tried_for)
 }
 
@@ -234,11 +248,11 @@
 /// Guards against answers cut at their deadline: a caller that comes back
 /// after a refusal has little time left, and engines worked for seconds on
 /// what nobody got.
-fn give_up_at(call: &Call, run_time: Duration) -> Instant {
+fn queue_deadline(call: &Call, run_time: Duration) -> Instant {
     let target = call.route.target_latency.unwrap_or_default();
     let gap = call.route.target_gap.unwrap_or_default();
-    let caller = MIN_GIVE_UP.max(target * 4).max(gap * 8);
-    (call.arrived + caller).min(call.deadline - run_time) - FIRST_EVENT_TIME * 2
+    let caller = MIN_CALLER_TIMEOUT.max(target * 4).max(gap * 8);
+    (call.arrived + caller).min(call.deadline - run_time) - DEFAULT_FIRST_EVENT_TIME * 2
 }
 
 fn try_place(
@@ -249,11 +263,11 @@
 ) -> Result<PlacedStream, PlacementError> {
     let EnginePlacement { decode, prefill, cost } = {
         let now = Instant::now();
-        let line = state.service_queues.with_line(&call.service, |line| line.news(now));
+        let update = state.service_queues.with_line(&call.service, |queue| queue.news(now));
         let fleet = state.fleet();
         let service = server_digest(&call.service);
-        let ahead = line.map_or(0, |line| fleet.peers.waiting_before(service, &line, now));
-        place_engine(&fleet, spec, shape, ahead, &need(state, call, &[]))?
+        let ahead = update.map_or(0, |update| fleet.peers.waiting_before(service, &update, now));
+        place_engine(&fleet, spec, shape, ahead, &placement_request(state, call, &[]))?
     };
     log_placed(state, call, &decode, prefill.as_ref(), 0, cost);
     let prefill = prefill
@@ -306,7 +320,7 @@
     );
 }
 
-pub(super) fn need<'a>(
+pub(super) fn placement_request<'a>(
     state: &'a GatewayState,
     call: &'a Call,
     tried: &'a [ServerKey],
--- a/crates/gateway/src/forward/event_reader.rs
+++ b/crates/gateway/src/forward/event_reader.rs
@@ -101,7 +101,7 @@
     }
 
     /// True when the body ended with a whole event.
-    pub fn ended_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.splitter.is_empty()
     }
 }
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -22,7 +22,7 @@
 use crate::quarantine::content_key;
 use crate::state::GatewayState;
 use crate::upstream;
-use crate::upstream::KeptConnection;
+use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
 /// Why a send gave no answer of the server's own.
@@ -67,7 +67,7 @@
 pub struct OpenReply {
     pub response: Response<Incoming>,
     pub head: ReplyHead,
-    pub connection: KeptConnection,
+    pub connection: PooledConnection,
     pub permit: SendPermit,
 }
 
@@ -90,21 +90,21 @@
     fleet.take_send_token(target.incarnation, now).then_some(target)
 }
 
-/// Sends `call` by `order` and waits up to `patience` for the answer head.
+/// Sends `call` by `order` and waits up to `timeout` for the answer head.
 pub async fn exchange<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
     order: &OnwardOrder,
     permit: SendPermit,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<OpenReply, SendFailure> {
     let request = call.onward::<C>(order);
     let sent_at = Instant::now();
     if order.purpose != SendPurpose::Prefill
         && let Some(charge) = &call.charge
     {
-        charge.keep();
+        charge.commit();
     }
     let sent = async {
         upstream::send(&state.pool, target, request).await.map_err(|error| {
@@ -112,17 +112,17 @@
             (failure, error.to_string())
         })
     };
-    let late = async {
-        smol::Timer::after(patience).await;
-        Err((SendFailure::Silent, format!("no answer within {} ms", patience.as_millis())))
+    let timed_out = async {
+        smol::Timer::after(timeout).await;
+        Err((SendFailure::Silent, format!("no answer within {} ms", timeout.as_millis())))
     };
-    let (response, connection) = match sent.or(late).await {
-        Ok(answered) => answered,
+    let (response, connection) = match sent.or(timed_out).await {
+        Ok(opened) => opened,
         Err((failure, problem)) => {
             if failure == SendFailure::Unsent {
                 permit.settle();
             }
-            return Err(fail(state, call, target, failure, &problem));
+            return Err(record_failure(state, call, target, failure, &problem));
         }
     };
     let head = C::reply_head(response.headers());
@@ -130,7 +130,7 @@
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().note_garbled(&target.server, Instant::now());
         let problem = format!("status {status}, answers {:?}", head.request_id);
-        return Err(fail(state, call, target, SendFailure::Garbled, &problem));
+        return Err(record_failure(state, call, target, SendFailure::Garbled, &problem));
     }
     let is_misdirected = status == http::StatusCode::MISDIRECTED_REQUEST;
     if !is_misdirected {
@@ -139,15 +139,15 @@
     if head.is_not_run || is_misdirected {
         let failure = if is_misdirected { SendFailure::Misdirected } else { SendFailure::NotRun };
         if !head.closes {
-            state.pool.keep(target, connection, head.keep_alive, Instant::now());
+            state.pool.put(target, connection, head.keep_alive, Instant::now());
         }
-        return Err(fail(state, call, target, failure, &format!("status {status}")));
+        return Err(record_failure(state, call, target, failure, &format!("status {status}")));
     }
     // A prefill server's answer is for us, and servers sign only what is for
     // the caller.
     let needs_signature = order.purpose != SendPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
-        return Err(fail(state, call, target, SendFailure::Garbled, "not signed"));
+        return Err(record_failure(state, call, target, SendFailure::Garbled, "not signed"));
     }
     Ok(OpenReply { response, head, connection, permit })
 }
@@ -160,35 +160,35 @@
 }
 
 /// Notes and logs a send that failed before its first event.
-pub fn fail(
+pub fn record_failure(
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
     failure: SendFailure,
     problem: &str,
 ) -> SendFailure {
-    fail_midway(state, call, target, failure, problem, Duration::ZERO)
+    record_midstream_failure(state, call, target, failure, problem, Duration::ZERO)
 }
 
 /// The same for one whose server had given events for `lived`.
-pub fn fail_midway(
+pub fn record_midstream_failure(
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
     failure: SendFailure,
     problem: &str,
-    lived: Duration,
+    run_duration: Duration,
 ) -> SendFailure {
     state.note_outcome(target, failure.outcome());
     if failure == SendFailure::Broken {
-        state.note_crash(call.id(), call.content, target, lived);
+        state.note_crash(call.id(), call.fingerprint, target, run_duration);
     }
     let kind = failure.to_string();
     metrics::counter!("umberglade_send_failures_total", "failure" => kind).increment(1);
     tracing::info!(
         event = events::SEND_FAILED,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = content_key(call.fingerprint),
         server = %target.server,
         peer = %target.address,
         failure = %failure,
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,7 +1,6 @@
 //! One caller's request, end to end.
 
 mod admit;
-mod answer;
 mod attempts;
 mod cache_guard;
 mod call;
@@ -14,12 +13,11 @@
 mod quota_charge;
 mod reject;
 mod relay;
+mod response_body;
 mod send_permit;
 mod stream_open;
 mod stream_run;
 
-pub use self::answer::GatewayBody;
-pub use self::answer::StreamBroken;
 pub use self::call::Call;
 pub use self::event_reader::EventReader;
 pub use self::event_reader::EventSplitter;
@@ -27,7 +25,9 @@
 pub use self::exchange::send_target;
 pub use self::quota_charge::QuotaCharge;
 pub use self::reject::Rejection;
-pub use self::reject::refuse;
+pub use self::reject::reject;
+pub use self::response_body::GatewayBody;
+pub use self::response_body::StreamBroken;
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -50,7 +50,7 @@
     state.note_request(&call.service);
     let attempts = match admit::admit::<C>(state, &call).await {
         Ok(attempts) => attempts,
-        Err(refusal) => return refusal,
+        Err(rejection) => return rejection,
     };
     match call.route.kind {
         CallKind::Stream => stream_run::run::<C>(state, call, attempts).await,
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -12,14 +12,14 @@
 
 use super::Call;
 use super::GatewayBody;
-use super::answer;
 use super::attempts::Attempts;
-use super::capacity_wait::need;
+use super::capacity_wait::placement_request;
 use super::exchange;
 use super::exchange::OpenReply;
 use super::exchange::SendFailure;
 use super::exchange::is_delimited;
-use super::reject::refuse_unanswered;
+use super::reject::reject_unanswered;
+use super::response_body;
 use super::send_permit::SendPermit;
 use crate::cluster::LoadShare;
 use crate::cluster::ServerOutcome;
@@ -41,33 +41,33 @@
 /// The share of the target latency after which an idempotent call goes to a
 /// second server as well: late enough that few do (calls take a fifth of
 /// their target on the mean), early enough that the second still meets it.
-const HEDGE_AT: f64 = 0.6;
+const HEDGE_LATENCY_FRACTION: f64 = 0.6;
 /// Hedged after this long where the route names no target.
-const DEFAULT_HEDGE: Duration = Duration::from_millis(300);
+const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
 /// How one send ended.
-enum SendEnd {
+enum SendOutcome {
     /// The server's own answer, read whole.
-    Answered(Response<GatewayBody>),
+    Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
 
-impl SendEnd {
+impl SendOutcome {
     fn is_final(&self, call: &Call) -> bool {
         match self {
-            SendEnd::Answered(response) => {
+            SendOutcome::Responded(response) => {
                 !(call.route.is_repeatable() && response.status().is_server_error())
             }
-            SendEnd::Failed(_) => false,
+            SendOutcome::Failed(_) => false,
         }
     }
 }
 
 /// What the sends so far leave to answer with.
 #[derive(Default)]
-struct Leftover {
+struct EarlierOutcomes {
     /// A server's own failure: better than ours.
-    answered: Option<Response<GatewayBody>>,
+    error_response: Option<Response<GatewayBody>>,
     /// True when some server may have run the request.
     may_have_run: bool,
 }
@@ -78,60 +78,62 @@
     call: Arc<Call>,
     mut attempts: Attempts,
 ) -> Response<GatewayBody> {
-    let mut leftover = Leftover::default();
+    let mut earlier = EarlierOutcomes::default();
     loop {
-        attempts.told_apart(state, &call).await;
+        attempts.wait_for_quarantine_decision(state, &call).await;
         let Some(permit) = attempts.permit(state, &call) else { break };
         if Instant::now() >= call.deadline {
             break;
         }
-        let Some(server) = place(state, &call, &attempts) else { break };
-        attempts.begin(&server);
-        let first = pin!(send_once::<C>(state, &call, server, permit));
-        let end = match hedge_after(&call, &attempts) {
+        let Some(server) = place_call(state, &call, &attempts) else { break };
+        attempts.record(&server);
+        let first = pin!(send_attempt::<C>(state, &call, server, permit));
+        let outcome = match hedge_delay(&call, &attempts) {
             None => first.await,
             Some(after) => {
-                match race_timer::<C>(state, &call, first, after, &mut attempts, &mut leftover)
+                match run_with_hedge::<C>(state, &call, first, after, &mut attempts, &mut earlier)
                     .await
                 {
-                    Some(end) => end,
+                    Some(outcome) => outcome,
                     None => continue,
                 }
             }
         };
-        if end.is_final(&call) {
-            let SendEnd::Answered(response) = end else { unreachable!("only answers are final") };
-            return done(&call, response, &attempts);
+        if outcome.is_final(&call) {
+            let SendOutcome::Responded(response) = outcome else {
+                unreachable!("only answers are final")
+            };
+            return complete(&call, response, &attempts);
         }
-        take_in(end, &mut attempts, &mut leftover);
+        record_non_final(outcome, &mut attempts, &mut earlier);
     }
-    finish(state, &call, &attempts, leftover)
+    finish(state, &call, &attempts, earlier)
 }
 
-/// Counts an end that is not final.
-fn take_in(end: SendEnd, attempts: &mut Attempts, leftover: &mut Leftover) {
-    match end {
-        SendEnd::Answered(response) => {
+/// Counts an outcome that is not final.
+fn record_non_final(outcome: SendOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
+    match outcome {
+        SendOutcome::Responded(response) => {
             attempts.runs += 1;
-            leftover.may_have_run = true;
-            leftover.answered = Some(response);
+            earlier.may_have_run = true;
+            earlier.error_response = Some(response);
         }
-        SendEnd::Failed(SendFailure::Unsent) => attempts.note_unsent(),
-        SendEnd::Failed(failure) if failure.is_not_run() => {}
-        SendEnd::Failed(_) => {
+        SendOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
+        SendOutcome::Failed(failure) if failure.is_not_run() => {}
+        SendOutcome::Failed(_) => {
             attempts.runs += 1;
-            leftover.may_have_run = true;
+            earlier.may_have_run = true;
         }
     }
 }
 
 /// When to send to a second server as well; never for calls that may run
 /// only once.
-fn hedge_after(call: &Call, attempts: &Attempts) -> Option<Duration> {
+fn hedge_delay(call: &Call, attempts: &Attempts) -> Option<Duration> {
     let may_run_twice = call.route.is_repeatable() && attempts.runs + 2 <= call.route.max_attempts;
     may_run_twice.then(|| {
-        let target = call.route.target_latency.map(|target| target.mul_f64(HEDGE_AT));
-        target.unwrap_or(DEFAULT_HEDGE).saturating_sub(call.arrived.elapsed())
+        let target = call.route.target_latency.map(|target| target.mul_f64(HEDGE_LATENCY_FRACTION));
+        target.unwrap_or(DEFAULT_HEDGE_DELAY).saturating_sub(call.arrived.elapsed())
     })
 }
 
@@ -141,19 +143,19 @@
 ///
 /// Guards against a server that has gone silent: without it the caller
 /// waits for the whole deadline, though others would answer at once.
-async fn race_timer<C: PlatformCodec>(
+async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
-    mut first: std::pin::Pin<&mut impl Future<Output = SendEnd>>,
+    mut first: std::pin::Pin<&mut impl Future<Output = SendOutcome>>,
     after: Duration,
     attempts: &mut Attempts,
-    leftover: &mut Leftover,
-) -> Option<SendEnd> {
-    if let Some(end) = by_deadline(Instant::now() + after, first.as_mut()).await {
-        return Some(end);
+    earlier: &mut EarlierOutcomes,
+) -> Option<SendOutcome> {
+    if let Some(outcome) = by_deadline(Instant::now() + after, first.as_mut()).await {
+        return Some(outcome);
     }
     let permit = attempts.permit(state, call);
-    let second = permit.and_then(|permit| Some((place(state, call, attempts)?, permit)));
+    let second = permit.and_then(|permit| Some((place_call(state, call, attempts)?, permit)));
     let Some((server, permit)) = second else { return Some(first.await) };
     tracing::info!(
         event = events::CALL_HEDGED,
@@ -164,26 +166,26 @@
         "sent to a second server"
     );
     metrics::counter!("umberglade_hedges_total").increment(1);
-    attempts.begin(&server);
-    let mut second = pin!(send_once::<C>(state, call, server, permit));
-    let (is_first, end) =
+    attempts.record(&server);
+    let mut second = pin!(send_attempt::<C>(state, call, server, permit));
+    let (is_first, outcome) =
         async { (true, first.as_mut().await) }.or(async { (false, second.as_mut().await) }).await;
-    if end.is_final(call) {
-        return Some(end);
+    if outcome.is_final(call) {
+        return Some(outcome);
     }
-    take_in(end, attempts, leftover);
-    let end = if is_first { second.await } else { first.await };
-    if end.is_final(call) {
-        return Some(end);
+    record_non_final(outcome, attempts, earlier);
+    let outcome = if is_first { second.await } else { first.await };
+    if outcome.is_final(call) {
+        return Some(outcome);
     }
-    take_in(end, attempts, leftover);
+    record_non_final(outcome, attempts, earlier);
     None
 }
 
-fn place(state: &GatewayState, call: &Call, attempts: &Attempts) -> Option<ServerKey> {
+fn place_call(state: &GatewayState, call: &Call, attempts: &Attempts) -> Option<ServerKey> {
     let fleet = state.fleet();
-    let need = need(state, call, &attempts.tried);
-    let place = place_plain(&fleet, &need).ok()?;
+    let request = placement_request(state, call, &attempts.tried);
+    let place = place_plain(&fleet, &request).ok()?;
     let server_state = fleet.server(&place.server)?;
     tracing::info!(
         event = events::PLAIN_PLACED,
@@ -195,26 +197,26 @@
         domain = %server_state.entry.domain,
         row_version = server_state.version,
         own = server_state.own.running,
-        all = fleet.load(server_state, need.now).running,
-        failure_share = server_state.health.failure_share(need.now),
+        all = fleet.load(server_state, request.now).running,
+        failure_share = server_state.health.failure_share(request.now),
         limit = fleet.limits.limit(server_state.incarnation).map(RequestRate::per_second),
         cost = place.cost,
-        attempt = attempts.sends(),
+        attempt = attempts.count(),
         "placed"
     );
     Some(place.server)
 }
 
-async fn send_once<C: PlatformCodec>(
+async fn send_attempt<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
     server: ServerKey,
     permit: SendPermit,
-) -> SendEnd {
+) -> SendOutcome {
     let Some(target) = exchange::send_target(state, &server) else {
-        return SendEnd::Failed(SendFailure::Unsent);
+        return SendOutcome::Failed(SendFailure::Unsent);
     };
-    let _hold = LoadGuard::begin(state, server, LoadShare::of_call());
+    let _load_guard = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
     let order = OnwardOrder {
         server: target.server.clone(),
@@ -223,18 +225,18 @@
         resume_after: call.head.resume_after,
     };
     match exchange::exchange::<C>(state, call, &target, &order, permit, time_left).await {
-        Ok(reply) => read_whole::<C>(state, call, &target, reply).await,
-        Err(failure) => SendEnd::Failed(failure),
+        Ok(reply) => read_response::<C>(state, call, &target, reply).await,
+        Err(failure) => SendOutcome::Failed(failure),
     }
 }
 
 /// Reads the answer's body; it counts only when it came whole.
-async fn read_whole<C: PlatformCodec>(
+async fn read_response<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
     reply: OpenReply,
-) -> SendEnd {
+) -> SendOutcome {
     let (parts, body) = reply.response.into_parts();
     let read = match by_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
@@ -244,24 +246,26 @@
     let body: Bytes = match read {
         Ok(body) => body,
         Err((failure, problem)) => {
-            return SendEnd::Failed(exchange::fail(state, call, target, failure, &problem));
+            return SendOutcome::Failed(exchange::record_failure(
+                state, call, target, failure, &problem,
+            ));
         }
     };
     let is_error = parts.status.is_server_error();
     state.note_outcome(target, if is_error { ServerOutcome::Erred } else { ServerOutcome::Fine });
     if !is_error && is_delimited(&parts.headers) {
-        state.note_whole(call.content, target);
+        state.note_whole(call.fingerprint, target);
     }
     if !reply.head.closes {
-        state.pool.keep(target, reply.connection, reply.head.keep_alive, Instant::now());
+        state.pool.put(target, reply.connection, reply.head.keep_alive, Instant::now());
     }
-    let mut response = Response::new(answer::whole(body));
+    let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::reply_headers(&parts.headers);
-    SendEnd::Answered(response)
+    SendOutcome::Responded(response)
 }
 
-fn done(
+fn complete(
     call: &Call,
     response: Response<GatewayBody>,
     attempts: &Attempts,
@@ -274,7 +278,7 @@
         route = %call.route.name,
         server = attempts.tried.last().map(|server| &**server),
         status = response.status().as_u16(),
-        sends = attempts.sends(),
+        sends = attempts.count(),
         elapsed_ms = elapsed.as_millis() as u64,
         "answered"
     );
@@ -286,10 +290,10 @@
     state: &GatewayState,
     call: &Call,
     attempts: &Attempts,
-    leftover: Leftover,
+    earlier: EarlierOutcomes,
 ) -> Response<GatewayBody> {
-    match leftover.answered {
-        Some(response) => done(call, response, attempts),
-        None => refuse_unanswered(state, call, attempts, leftover.may_have_run, || RETRY_AFTER),
+    match earlier.error_response {
+        Some(response) => complete(call, response, attempts),
+        None => reject_unanswered(state, call, attempts, earlier.may_have_run, || RETRY_AFTER),
     }
 }
--- a/crates/gateway/src/forward/probe_guard.rs
+++ b/crates/gateway/src/forward/probe_guard.rs
@@ -9,18 +9,18 @@
 #[derive(Debug)]
 pub struct ProbeGuard {
     state: Arc<GatewayState>,
-    content: RequestFingerprint,
+    fingerprint: RequestFingerprint,
 }
 
 impl ProbeGuard {
     /// A request of `content` goes out as a probe.
-    pub fn new(state: &Arc<GatewayState>, content: RequestFingerprint) -> Self {
-        ProbeGuard { state: Arc::clone(state), content }
+    pub fn new(state: &Arc<GatewayState>, fingerprint: RequestFingerprint) -> Self {
+        ProbeGuard { state: Arc::clone(state), fingerprint }
     }
 }
 
 impl Drop for ProbeGuard {
     fn drop(&mut self) {
-        self.state.quarantines.end_probe(self.content);
+        self.state.quarantines.end_probe(self.fingerprint);
     }
 }
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -8,11 +8,11 @@
 use crate::state::GatewayState;
 
 /// Given back when dropped, unless a server may have run the request.
-const OPEN: u8 = 0;
+const PENDING: u8 = 0;
 /// A server may have run it.
-const KEPT: u8 = 1;
+const COMMITTED: u8 = 1;
 /// Given back.
-const RETURNED: u8 = 2;
+const REFUNDED: u8 = 2;
 
 /// One charge, made once however often the request is sent.
 #[derive(Debug)]
@@ -20,23 +20,24 @@
     state: Arc<GatewayState>,
     organisation: OrganisationDigest,
     cost: u64,
-    stage: AtomicU8,
+    phase: AtomicU8,
 }
 
 impl QuotaCharge {
     /// That of `cost` units, which have been charged.
     pub fn new(state: &Arc<GatewayState>, organisation: OrganisationDigest, cost: u64) -> Self {
-        QuotaCharge { state: Arc::clone(state), organisation, cost, stage: AtomicU8::new(OPEN) }
+        QuotaCharge { state: Arc::clone(state), organisation, cost, phase: AtomicU8::new(PENDING) }
     }
 
     /// The request is sent to a server that may run it.
-    pub fn keep(&self) {
-        let _ = self.stage.compare_exchange(OPEN, KEPT, Ordering::AcqRel, Ordering::Acquire);
+    pub fn commit(&self) {
+        let _ =
+            self.phase.compare_exchange(PENDING, COMMITTED, Ordering::AcqRel, Ordering::Acquire);
     }
 
     /// The request has certainly not run, wherever it was sent.
-    pub fn give_back(&self) {
-        if self.stage.swap(RETURNED, Ordering::AcqRel) != RETURNED {
+    pub fn refund(&self) {
+        if self.phase.swap(REFUNDED, Ordering::AcqRel) != REFUNDED {
             self.state.quotas.give_back(self.organisation, self.cost);
         }
     }
@@ -44,8 +45,8 @@
 
 impl Drop for QuotaCharge {
     fn drop(&mut self) {
-        if *self.stage.get_mut() == OPEN {
-            self.give_back();
+        if *self.phase.get_mut() == PENDING {
+            self.refund();
         }
     }
 }
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -13,8 +13,8 @@
 use super::Call;
 use super::GatewayBody;
 use super::admit::retry_after;
-use super::answer;
 use super::attempts::Attempts;
+use super::response_body;
 use crate::events;
 use crate::model::ServerStage;
 use crate::quarantine::content_key;
@@ -22,7 +22,7 @@
 
 /// Retry delay when this gateway has no share of any server's rate limit; another gateway
 /// may have one.
-const NO_SHARE_RETRY: Duration = Duration::from_secs(1);
+const NO_SHARE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// Why the gateway answers by itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, strum::IntoStaticStr)]
@@ -96,12 +96,12 @@
 
 /// The answer for `refusal`, with when to come back if the request has not
 /// run.
-pub fn refuse(refusal: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
-    let reason: &'static str = refusal.into();
+pub fn reject(rejection: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
+    let reason: &'static str = rejection.into();
     metrics::counter!("umberglade_refusals_total", "reason" => reason).increment(1);
     let body = Bytes::from(format!("{{\"error\":\"{reason}\"}}"));
-    let mut response = Response::new(answer::whole(body));
-    *response.status_mut() = refusal.status();
+    let mut response = Response::new(response_body::full(body));
+    *response.status_mut() = rejection.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = retry_after
@@ -115,29 +115,29 @@
 /// The refusal of `call` once no further send may be made. Only a request that
 /// certainly did not run gets a status that promises so; `usual` says when it
 /// may come back.
-pub fn refuse_unanswered(
+pub fn reject_unanswered(
     state: &GatewayState,
     call: &Call,
     attempts: &Attempts,
     may_have_run: bool,
-    usual: impl FnOnce() -> Duration,
+    usual_delay: impl FnOnce() -> Duration,
 ) -> Response<GatewayBody> {
     let now = Instant::now();
-    let is_late = now >= call.deadline;
-    let held = state.quarantines.held(call.content);
+    let is_expired = now >= call.deadline;
+    let quarantine = state.quarantines.held(call.fingerprint);
     let next_send_after = next_send_after(state, call, now);
-    let (refusal, retry_after) = match (may_have_run, is_late, held) {
+    let (rejection, retry_after) = match (may_have_run, is_expired, quarantine) {
         (true, true, _) => (Rejection::Expired, None),
         (true, false, _) => (Rejection::OutcomeUnknown, None),
-        (false, false, Some(held)) => (Rejection::Quarantined, Some(retry_after(held))),
-        (false, true, _) => (Rejection::ExpiredUnsent, Some(usual())),
+        (false, false, Some(quarantine)) => (Rejection::Quarantined, Some(retry_after(quarantine))),
+        (false, true, _) => (Rejection::ExpiredUnsent, Some(usual_delay())),
         (false, false, None) if next_send_after.is_some_and(|after| !after.is_zero()) => {
-            (Rejection::RateLimited, next_send_after.map(|after| after.max(usual())))
+            (Rejection::RateLimited, next_send_after.map(|after| after.max(usual_delay())))
         }
-        (false, false, None) if attempts.sends() == 0 => (Rejection::NoServer, Some(usual())),
-        (false, false, None) => (Rejection::NotRun, Some(usual())),
+        (false, false, None) if attempts.count() == 0 => (Rejection::NoServer, Some(usual_delay())),
+        (false, false, None) => (Rejection::NotRun, Some(usual_delay())),
     };
-    reject_call(call, refusal, retry_after, attempts.sends())
+    reject_call(call, rejection, retry_after, attempts.count())
 }
 
 /// Time until the rate limits allow this gateway to send `call` to a server that can
@@ -152,34 +152,34 @@
         return None;
     }
     let at = fleet.next_send_at(&call.service, answers, now);
-    Some(at.map_or(NO_SHARE_RETRY, |at| at.saturating_duration_since(now)))
+    Some(at.map_or(NO_SHARE_RETRY_AFTER, |at| at.saturating_duration_since(now)))
 }
 
 /// Like [`refuse`] for a routed call, with its log line.
 pub fn reject_call(
     call: &Call,
-    refusal: Rejection,
+    rejection: Rejection,
     retry_after: Option<Duration>,
     sends: u32,
 ) -> Response<GatewayBody> {
-    if refusal.promises_not_run()
+    if rejection.promises_not_run()
         && let Some(charge) = &call.charge
     {
-        charge.give_back();
+        charge.refund();
     }
     tracing::info!(
         event = events::CALL_REFUSED,
         request_id = call.id(),
-        content = content_key(call.content),
+        content = content_key(call.fingerprint),
         route = %call.route.name,
         service = %call.service,
         config = call.config,
-        reason = %refusal,
-        status = refusal.status().as_u16(),
+        reason = %rejection,
+        status = rejection.status().as_u16(),
         sends,
         retry_after_ms = retry_after.map_or(0, |after| after.as_millis() as u64),
         elapsed_ms = call.age_ms(),
         "refused"
     );
-    refuse(refusal, retry_after)
+    reject(rejection, retry_after)
 }
--- a/crates/gateway/src/forward/answer.rs
+++ b/crates/gateway/src/forward/response_body.rs
@@ -14,21 +14,21 @@
 pub struct StreamBroken;
 
 /// One piece of a streamed answer.
-pub type BodyPiece = Result<Frame<Bytes>, StreamBroken>;
+pub type BodyFrame = Result<Frame<Bytes>, StreamBroken>;
 /// An answer's body: whole, or piece by piece.
-pub type GatewayBody = Either<Full<Bytes>, StreamBody<async_channel::Receiver<BodyPiece>>>;
+pub type GatewayBody = Either<Full<Bytes>, StreamBody<async_channel::Receiver<BodyFrame>>>;
 
 /// A body sent whole.
-pub fn whole(body: Bytes) -> GatewayBody {
+pub fn full(body: Bytes) -> GatewayBody {
     Either::Left(Full::new(body))
 }
 
 /// A body sent piece by piece, and what feeds it. Dropping the sender ends
 /// the body as complete; a [`StreamBroken`] ends it as broken.
-pub fn pieces() -> (async_channel::Sender<BodyPiece>, GatewayBody) {
-    let (sender, receiver) = async_channel::bounded(PIECES_BUFFERED);
+pub fn streamed() -> (async_channel::Sender<BodyFrame>, GatewayBody) {
+    let (sender, receiver) = async_channel::bounded(MAX_BUFFERED_FRAMES);
     (sender, Either::Right(StreamBody::new(receiver)))
 }
 
 /// Pieces that wait for a slow caller; then the server is made to wait.
-const PIECES_BUFFERED: usize = 16;
+const MAX_BUFFERED_FRAMES: usize = 16;
--- a/crates/gateway/src/forward/send_permit.rs
+++ b/crates/gateway/src/forward/send_permit.rs
@@ -7,12 +7,12 @@
 
 /// What still has to be counted when the send is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum OpenCount {
+enum PendingCount {
     /// Nothing: a request's first send is no repeat, and the allowance was
     /// asked for any other.
     Settled,
     /// A first prompt: a repeat unless the server accepts it, or never saw it.
-    FirstPrompt,
+    FirstPrefill,
 }
 
 /// Lets a request be sent to one server once. Only [`Attempts`] makes one, and
@@ -29,33 +29,33 @@
 pub struct SendPermit {
     state: Arc<GatewayState>,
     service: ServiceName,
-    open_count: OpenCount,
+    pending_count: PendingCount,
 }
 
 impl SendPermit {
     /// For a send that is no repeat, or that the allowance was asked for.
-    pub(super) fn counted(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
-        SendPermit::new(state, service, OpenCount::Settled)
+    pub(super) fn settled(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
+        SendPermit::new(state, service, PendingCount::Settled)
     }
 
     /// For a request's first prompt.
-    pub(super) fn first_prompt(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
-        SendPermit::new(state, service, OpenCount::FirstPrompt)
+    pub(super) fn first_prefill(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
+        SendPermit::new(state, service, PendingCount::FirstPrefill)
     }
 
-    fn new(state: &Arc<GatewayState>, service: &ServiceName, open_count: OpenCount) -> Self {
-        SendPermit { state: Arc::clone(state), service: service.clone(), open_count }
+    fn new(state: &Arc<GatewayState>, service: &ServiceName, pending_count: PendingCount) -> Self {
+        SendPermit { state: Arc::clone(state), service: service.clone(), pending_count }
     }
 
     /// The server has done what it was asked, or never saw the request.
     pub fn settle(mut self) {
-        self.open_count = OpenCount::Settled;
+        self.pending_count = PendingCount::Settled;
     }
 }
 
 impl Drop for SendPermit {
     fn drop(&mut self) {
-        if self.open_count == OpenCount::FirstPrompt {
+        if self.pending_count == PendingCount::FirstPrefill {
             self.state.note_repeat(&self.service);
         }
     }
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -13,10 +13,10 @@
 use super::EventReader;
 use super::GatewayBody;
 use super::StreamEvent;
-use super::answer;
 use super::exchange;
 use super::exchange::OpenReply;
 use super::exchange::SendFailure;
+use super::response_body;
 use super::send_permit::SendPermit;
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
@@ -24,7 +24,7 @@
 use crate::model::OnwardOrder;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
-use crate::upstream::KeptConnection;
+use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
 /// A stream whose first event has come.
@@ -38,49 +38,49 @@
     pub reader: EventReader,
     pub target: SendTarget,
     /// Kept once the stream has ended well; `None` when the server closes.
-    pub connection: Option<KeptConnection>,
+    pub connection: Option<PooledConnection>,
     pub keep_alive: Option<Duration>,
     /// False when its end looks like its server's.
     pub is_delimited: bool,
-    pub hold: LoadGuard,
+    pub load_guard: LoadGuard,
 }
 
 /// How opening a stream ended.
 #[derive(Debug)]
-pub enum OpenEnd {
+pub enum OpenOutcome {
     Stream(Box<OpenStream>),
     /// The server's own failure, read whole.
-    Answered(Response<GatewayBody>),
+    Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
 
 /// Sends `call` by `order` to the server of `hold` and waits up to
-/// `patience` for the first event.
+/// `timeout` for the first event.
 pub async fn open<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
-    hold: LoadGuard,
+    load_guard: LoadGuard,
     permit: SendPermit,
     order: &OnwardOrder,
-    patience: Duration,
-) -> OpenEnd {
-    let Some(target) = exchange::send_target(state, &hold.server) else {
-        return OpenEnd::Failed(SendFailure::Unsent);
+    timeout: Duration,
+) -> OpenOutcome {
+    let Some(target) = exchange::send_target(state, &load_guard.server) else {
+        return OpenOutcome::Failed(SendFailure::Unsent);
     };
-    let until = Instant::now() + patience;
-    let reply = match exchange::exchange::<C>(state, call, &target, order, permit, patience).await {
+    let deadline = Instant::now() + timeout;
+    let reply = match exchange::exchange::<C>(state, call, &target, order, permit, timeout).await {
         Ok(reply) => reply,
-        Err(failure) => return OpenEnd::Failed(failure),
+        Err(failure) => return OpenOutcome::Failed(failure),
     };
     let fail = |failure, problem: &str| {
-        OpenEnd::Failed(exchange::fail(state, call, &target, failure, problem))
+        OpenOutcome::Failed(exchange::record_failure(state, call, &target, failure, problem))
     };
     let status = reply.response.status();
     if !status.is_success() {
-        return match by_deadline(until, read_failure::<C>(reply)).await {
+        return match by_deadline(deadline, read_error_response::<C>(reply)).await {
             Some(Ok(response)) => {
                 state.note_outcome(&target, ServerOutcome::Erred);
-                OpenEnd::Answered(response)
+                OpenOutcome::Responded(response)
             }
             Some(Err(error)) => fail(SendFailure::Broken, &error.to_string()),
             None => fail(SendFailure::Silent, "no answer body in time"),
@@ -89,13 +89,13 @@
     let OpenReply { response, head, connection, .. } = reply;
     let (parts, body) = response.into_parts();
     let mut reader = EventReader::new(body);
-    let first = match by_deadline(until, reader.next_event()).await {
+    let first = match by_deadline(deadline, reader.next_event()).await {
         Some(Ok(first)) => first,
         Some(Err(error)) => return fail(SendFailure::Broken, &error.to_string()),
         None => return fail(SendFailure::Silent, "no first event in time"),
     };
     state.note_outcome(&target, ServerOutcome::Fine);
-    OpenEnd::Stream(Box::new(OpenStream {
+    OpenOutcome::Stream(Box::new(OpenStream {
         status,
         headers: C::reply_headers(&parts.headers),
         first,
@@ -104,16 +104,16 @@
         connection: (!head.closes).then_some(connection),
         keep_alive: head.keep_alive,
         is_delimited: exchange::is_delimited(&parts.headers),
-        hold,
+        load_guard,
     }))
 }
 
-async fn read_failure<C: PlatformCodec>(
+async fn read_error_response<C: PlatformCodec>(
     reply: OpenReply,
 ) -> Result<Response<GatewayBody>, hyper::Error> {
     let (parts, body) = reply.response.into_parts();
     let body = body.collect().await?.to_bytes();
-    let mut response = Response::new(answer::whole(body));
+    let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::reply_headers(&parts.headers);
     Ok(response)
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -27,7 +27,7 @@
 use crate::forward::GatewayBody;
 use crate::forward::QuotaCharge;
 use crate::forward::Rejection;
-use crate::forward::refuse;
+use crate::forward::reject;
 use crate::model::CallHead;
 use crate::model::CallerKey;
 use crate::model::ContentParts;
@@ -87,7 +87,7 @@
         Some(body) => body,
         None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
     };
-    let content = ContentParts {
+    let fingerprint = ContentParts {
         method: parts.method.as_str(),
         host: stated_host(&parts.headers, &parts.uri).unwrap_or_default(),
         target: parts.uri.path_and_query().map_or("/", |target| target.as_str()),
@@ -117,7 +117,7 @@
         body,
         head,
         charge,
-        content,
+        fingerprint,
         route: Arc::clone(&route),
         service,
         spec,
@@ -226,5 +226,5 @@
         config,
         "refused"
     );
-    ReadEnd::Refused(refuse(refusal, retry_after))
+    ReadEnd::Refused(reject(refusal, retry_after))
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -270,7 +270,7 @@
         let now = Instant::now();
         let changes = state.fleet().tick(now);
         state.log_changes(&changes, 0);
-        state.pool.tick(now);
+        state.pool.remove_expired(now);
         let rank = state.fleet().peers.rank(state.digest, now);
         state.quarantines.tick(rank.before == 0);
         state.quotas.tick(&state.quota_view());
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -196,7 +196,7 @@
                 FleetChange::Restarted(server) => (server, "restarted"),
             };
             if !matches!(change, FleetChange::Joined(_) | FleetChange::Lapsed(_)) {
-                self.pool.forget(server);
+                self.pool.remove_server(server);
             }
             tracing::info!(event = events::SERVER_CHANGED, %server, version, outcome, "server changed");
         }
--- a/crates/gateway/src/upstream/sender.rs
+++ b/crates/gateway/src/upstream/sender.rs
@@ -17,7 +17,7 @@
 use umberglade_wire::pool;
 
 use super::ConnectionPool;
-use super::KeptConnection;
+use super::PooledConnection;
 use super::SendError;
 use super::send_error::BrokenSnafu;
 use super::send_error::ConnectSnafu;
@@ -48,12 +48,12 @@
     pool: &ConnectionPool,
     target: &SendTarget,
     request: Request<Full<Bytes>>,
-) -> Result<(Response<Incoming>, KeptConnection), SendError> {
+) -> Result<(Response<Incoming>, PooledConnection), SendError> {
     let mut request = request;
     if target.may_reuse {
-        while let Some(mut kept) = pool.take(target, Instant::now()) {
-            match kept.try_send_request(request).await {
-                Ok(response) => return Ok((response, kept)),
+        while let Some(mut pooled) = pool.take(target, Instant::now()) {
+            match pooled.try_send_request(request).await {
+                Ok(response) => return Ok((response, pooled)),
                 // The connection had closed before anything was written on
                 // it: the request is still ours to send.
                 Err(mut error) => match error.take_message() {
@@ -66,20 +66,20 @@
             }
         }
     }
-    let mut fresh = connect(target.address).await?;
+    let mut new_connection = connect(target.address).await?;
     let response =
-        fresh.send_request(request).await.context(BrokenSnafu { peer: target.address })?;
-    Ok((response, fresh))
+        new_connection.send_request(request).await.context(BrokenSnafu { peer: target.address })?;
+    Ok((response, new_connection))
 }
 
-async fn connect(peer: SocketAddr) -> Result<KeptConnection, SendError> {
+async fn connect(peer: SocketAddr) -> Result<PooledConnection, SendError> {
     metrics::counter!("umberglade_connections_opened_total").increment(1);
     let open = async { TcpStream::connect(peer).await.context(ConnectSnafu { peer }) };
-    let late = async {
+    let timed_out = async {
         smol::Timer::after(CONNECT_TIMEOUT).await;
         ConnectTimeoutSnafu { peer, timeout_ms: CONNECT_TIMEOUT.as_millis() as u64 }.fail()
     };
-    let stream = open.or(late).await?;
+    let stream = open.or(timed_out).await?;
     // Without it the events of a stream wait for the acknowledgement of
     // those before; a failure only costs that time.
     let _ = stream.set_nodelay(true);
