--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent at all, or crashes the servers that run it.
+//! Admission control for poison requests, which crash the servers that run them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,15 +21,15 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How soon to come back where the next probe is not known to be further off.
+/// Minimum `Retry-After` of a quarantined request.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What is left of a caller's time when waiting for a probe ends.
+/// Waiting for a probe ends when the caller's deadline is this close.
 const RESPONSE_RESERVE: Duration = Duration::from_millis(200);
-/// A request that waits for a probe looks this often whether one is due.
+/// Interval at which a request that waits for a probe checks whether one is due.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The sends that `call` may make; a refusal when it is held back.
+/// Returns the attempts that `call` may make, or a rejection while it is quarantined.
 pub(super) async fn admit<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -37,12 +37,12 @@
     loop {
         let (quarantine, outcome) = match state.quarantines.admit(call.fingerprint) {
             QuarantineVerdict::Admitted => return Ok(Attempts::default()),
-            QuarantineVerdict::HeldBack(held) => (held, "refused".to_owned()),
+            QuarantineVerdict::HeldBack(quarantine) => (quarantine, "refused".to_owned()),
             QuarantineVerdict::Probe(quarantine) => return Ok(new_probe(state, call, quarantine)),
             QuarantineVerdict::ProbeDue(quarantine) => {
                 match claim_probe::<C>(state, call.fingerprint, quarantine).await {
                     Ok(true) => return Ok(new_probe(state, call, quarantine)),
-                    Ok(false) => (quarantine, "refused; another gateway finds out".to_owned()),
+                    Ok(false) => (quarantine, "refused; another gateway probes".to_owned()),
                     Err(error) => (quarantine, format!("refused; probe not claimed: {error}")),
                 }
             }
@@ -59,8 +59,8 @@
     }
 }
 
-/// Waits until `call` may be let through, or be a probe itself; false when it is
-/// held back for longer than its caller waits.
+/// Waits for a change or one poll interval, after which `call` may be admitted or become the
+/// probe. Returns false at once when its quarantine is decided or its deadline is too close.
 pub(super) async fn wait_for_probe(
     state: &GatewayState,
     call: &Call,
@@ -74,19 +74,18 @@
     true
 }
 
-/// The sends of the one request that is let through.
+/// Returns the attempts of `call` as the probe of its quarantine.
 fn new_probe(state: &Arc<GatewayState>, call: &Call, quarantine: QuarantineStatus) -> Attempts {
-    log_quarantined(call, quarantine, 0, "let through to find out");
+    log_quarantined(call, quarantine, 0, "sent as a probe");
     Attempts::probe(ProbeGuard::new(state, call.fingerprint))
 }
 
-/// When a caller of what is held back may come back.
+/// Returns the `Retry-After` of a quarantined request.
 pub(super) fn retry_after(quarantine: QuarantineStatus) -> Duration {
     quarantine.left.max(MIN_RETRY_AFTER)
 }
 
-/// Logs what decided that `call` is held back after `sends` sends, or let
-/// through.
+/// Logs why `call` is quarantined after `sends` attempts, or sent as a probe.
 pub(super) fn log_quarantined(
     call: &Call,
     quarantine: QuarantineStatus,
@@ -106,6 +105,6 @@
         left_ms = quarantine.left.as_millis() as u64,
         sends,
         outcome,
-        "servers crash under such requests"
+        "quarantined: servers crash while they run this request"
     );
 }
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -1,4 +1,4 @@
-//! How often one caller's request may be sent.
+//! The attempts of one request and their limits.
 
 use std::sync::Arc;
 
@@ -15,43 +15,41 @@
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 
-/// Sends beyond the route's attempts, for servers that proved not to have
-/// run the request: those used up no attempt, but each also costs the
-/// service an arrival.
+/// Maximum number of attempts beyond the route's limit for servers that did not run the
+/// request. They do not count against that limit, but each still loads the service with
+/// an arrival.
 const MAX_NOT_RUN_RETRIES: u32 = 2;
 
-/// Further sends for those that reached no server, which cost nobody
-/// anything but the time of a refused connection.
+/// Maximum number of further attempts for those that reached no server. These cost only the
+/// time of a refused connection.
 const MAX_UNSENT_RETRIES: u32 = 3;
 
-/// The sends of one request so far.
+/// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub struct Attempts {
-    /// Servers it was sent to, in order.
+    /// The servers of all attempts, in order.
     pub tried: SmallVec<[ServerKey; 4]>,
-    /// Those that may have run it.
+    /// Number of attempts whose server may have run the request.
     pub runs: u32,
     count: u32,
-    /// Sends that reached no server.
+    /// Number of attempts that reached no server.
     unsent: u32,
-    /// True once a server was asked to read the prompt.
+    /// True once the prompt was sent to a prefill server.
     has_sent_prefill: bool,
-    /// Set for a request that is let through to find out whether servers crash
-    /// under it: it reaches one server, once.
+    /// Set for a probe, which is sent to one server only, once.
     probe: Option<ProbeGuard>,
 }
 
 impl Attempts {
-    /// Those of a probe.
+    /// Returns the attempts of a probe.
     pub fn probe(guard: ProbeGuard) -> Self {
         Attempts { probe: Some(guard), ..Attempts::default() }
     }
 
-    /// How `call` is held back; `None` for a probe's only send.
+    /// Returns the quarantine of `call`; `None` for the only attempt of a probe.
     ///
-    /// Guards against sends that go on for a request while its content turns
-    /// out to crash servers: it waits in line, it is sent again, its stream goes
-    /// on elsewhere, or it is hedged. All sends ask here first.
+    /// Prevents further attempts of a request whose fingerprint is quarantined while it is
+    /// queued, retried, resumed at another server or hedged. Every attempt checks this first.
     pub fn quarantine_status(&self, state: &GatewayState, call: &Call) -> Option<QuarantineStatus> {
         if self.probe.is_some() && self.count == 0 {
             return None;
@@ -59,37 +57,37 @@
         state.quarantines.held(call.fingerprint)
     }
 
-    /// Waits while `call` is held back only until probes have told its content
-    /// from others, but for what its caller has left to wait.
+    /// Waits while the quarantine of `call` is undecided, since probes have yet to tell its
+    /// fingerprint from others, and its caller has time left.
     ///
-    /// Guards against popular requests that are refused since servers crashed
-    /// under fatal ones before any answer was whole.
+    /// Prevents rejections of popular requests that ran on a server which a poison request
+    /// crashed before any response was complete.
     pub async fn wait_for_quarantine_decision(&self, state: &GatewayState, call: &Call) {
         while let Some(quarantine) = self.quarantine_status(state, call)
             && wait_for_probe(state, call, quarantine).await
         {}
     }
 
-    /// Notes a send to `server`.
+    /// Records an attempt at `server`.
     pub fn record(&mut self, server: &ServerKey) {
         self.tried.push(server.clone());
         self.count += 1;
     }
 
-    /// The last send reached no server.
+    /// Records that the last attempt reached no server.
     pub fn record_unsent(&mut self) {
         self.unsent += 1;
     }
 
-    /// The right to another send, when it is within the route's bounds and,
-    /// unless none has reached a server yet, the service's retry allowance,
-    /// which is then spent: that bounds what arrives at servers.
+    /// Returns a permit for another attempt if the route's limits allow it. Once an attempt
+    /// has reached a server, this also consumes from the service's retry budget, which
+    /// bounds the number of requests that arrive at servers.
     pub fn permit(&self, state: &Arc<GatewayState>, call: &Call) -> Option<SendPermit> {
         if !self.is_within_route(call) {
             return None;
         }
         if let Some(quarantine) = self.quarantine_status(state, call) {
-            log_quarantined(call, quarantine, self.count, "not sent again");
+            log_quarantined(call, quarantine, self.count, "not retried");
             return None;
         }
         if self.unsent < self.count && !state.spend_retry(&call.service, RetryVerdict::Needed) {
@@ -100,15 +98,15 @@
                 service = %call.service,
                 sends = self.count,
                 gateways = state.members(),
-                "retry allowance spent"
+                "retry budget exhausted"
             );
             return None;
         }
         Some(SendPermit::settled(state, &call.service))
     }
 
-    /// The right to have the prompt read at a server of its own: the first time
-    /// freely, again only to help, within the retry allowance. A probe's is read
+    /// Returns a permit to prefill the prompt at a separate server. The first needs no retry
+    /// budget; further ones are optional and need some. The prompt of a probe is prefilled
     /// by the server that answers it.
     pub fn permit_prefill(&mut self, state: &Arc<GatewayState>, call: &Call) -> Option<SendPermit> {
         if self.probe.is_some() || self.quarantine_status(state, call).is_some() {
@@ -132,7 +130,7 @@
                 < route.max_attempts + MAX_NOT_RUN_RETRIES + self.unsent.min(MAX_UNSENT_RETRIES)
     }
 
-    /// Sends so far.
+    /// Number of attempts so far.
     pub fn count(&self) -> u32 {
         self.count
     }
--- a/crates/gateway/src/forward/cache_guard.rs
+++ b/crates/gateway/src/forward/cache_guard.rs
@@ -1,4 +1,4 @@
-//! Lets go of a KV cache that no decode server took.
+//! Releases KV caches that no decode server fetches.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,14 +18,15 @@
 use crate::upstream;
 use crate::upstream::SendTarget;
 
-/// From offering a cache to its being fetched: a connection and a hop.
+/// Time from the offer of a cache to a decode server until the server fetches it: a connection
+/// and a network hop.
 const FETCH_MARGIN: Duration = Duration::from_millis(30);
 
-/// Holds a finished prompt's KV cache until [`CacheGuard::taken`].
+/// Releases the KV cache of a finished prefill when dropped, unless it is disarmed.
 ///
-/// Guards against engine memory held for nobody: when the caller leaves
-/// between the two steps, or no decode server takes the cache, the prefill
-/// server is told at once instead of waiting for the handle to lapse.
+/// Prevents engine memory from being held for nothing. When the caller disconnects between
+/// prefill and decode, or no decode server fetches the cache, the prefill server can free it
+/// at once instead of when the handle expires.
 #[derive(Debug)]
 pub struct CacheGuard<C: PlatformCodec> {
     state: Arc<GatewayState>,
@@ -37,7 +38,7 @@
 }
 
 impl<C: PlatformCodec> CacheGuard<C> {
-    /// A guard of `source` at the server `target`.
+    /// Returns a guard of the cache `source` at the server `target`.
     pub fn new(
         state: &Arc<GatewayState>,
         target: SendTarget,
@@ -54,14 +55,13 @@
         }
     }
 
-    /// Where the cache is.
+    /// Returns the location of the cache.
     pub fn source(&self) -> Option<&CacheSource> {
         self.source.as_ref()
     }
 
-    /// True while the prefill server, which keeps the cache for `ttl`, should
-    /// still have it by the time a decode server asks: one that has started
-    /// again since has nothing of before.
+    /// Returns true while the prefill server, which keeps the cache for `ttl`, should still
+    /// have it when a decode server fetches it. A restarted server has lost it.
     pub fn is_fresh(&self, ttl: Duration) -> bool {
         let fleet = self.state.fleet();
         let server_state = fleet.server(&self.target.server);
@@ -70,7 +70,7 @@
         is_same_incarnation && self.created_at.elapsed() + FETCH_MARGIN < ttl
     }
 
-    /// A decode server has the cache.
+    /// Disarms the guard: a decode server has fetched the cache.
     pub fn disarm(mut self) {
         self.source = None;
     }
@@ -105,7 +105,7 @@
     let outcome = match upstream::send(&state.pool, target, request).await {
         Ok((response, _)) => {
             let status = response.status().as_u16();
-            // Only the status matters; the body is read to end the exchange.
+            // Only the status is used; the body is read to complete the exchange.
             let _ = response.into_body().collect().await;
             status.to_string()
         }
@@ -120,6 +120,6 @@
         request_id,
         server = %target.server,
         outcome,
-        "KV cache let go"
+        "KV cache released"
     );
 }
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole, with its route.
+//! A caller's complete request with its route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,43 +23,44 @@
 use crate::model::ServiceName;
 use crate::model::ServiceSpec;
 
-/// One request in the gateway's hands.
+/// A request that the gateway forwards.
 #[derive(Debug)]
 pub struct Call {
     pub method: Method,
     pub uri: Uri,
-    /// Marked with who calls; without its key.
+    /// The caller's headers, marked with the organisation and without the key.
     pub headers: HeaderMap,
     pub body: Bytes,
     pub head: CallHead,
-    /// What it is charged to its organisation's quota, if there is one.
+    /// The charge to the quota of its organisation, if there is one.
     pub charge: Option<QuotaCharge>,
-    /// The same for each try of the same request.
+    /// Identical for all attempts of the same request.
     pub fingerprint: RequestFingerprint,
     pub route: Arc<Route>,
     pub service: ServiceName,
     pub spec: ServiceSpec,
-    /// The configuration by which it was routed.
+    /// The configuration that it was routed with.
     pub config: ConfigVersion,
     pub arrived: Instant,
-    /// How long its caller has been trying with earlier requests.
+    /// How long its caller has been retrying with earlier requests.
     pub tried_for: Duration,
-    /// When the caller, or the operator's bound, ends it.
+    /// The caller's deadline or the operator's limit, whichever is earlier.
     pub deadline: Instant,
 }
 
 impl Call {
-    /// The id in logs.
+    /// Returns the request id for logs.
     pub fn id(&self) -> &str {
         self.head.request_id.as_deref().unwrap_or("-")
     }
 
-    /// What is left until the deadline.
+    /// Returns the time left until the deadline.
     pub fn time_left(&self, now: Instant) -> Duration {
         self.deadline.saturating_duration_since(now)
     }
 
-    /// The sizes of its prompt; for calls that state none, its body's.
+    /// Returns the token counts of its prompt and output, or the size of its body if it states
+    /// none.
     pub fn prompt_shape(&self) -> PromptShape {
         self.head.prompt.unwrap_or(PromptShape {
             prompt_tokens: self.body.len() as u32,
@@ -68,8 +69,8 @@
         })
     }
 
-    /// The sizes of the service's engines; a service without any is bounded
-    /// by its servers' slots alone.
+    /// Returns the capacity of the service's engines. A service without one is bounded only by
+    /// the slots of its servers.
     pub fn engine_spec(&self) -> EngineSpec {
         self.spec.engine.clone().unwrap_or(EngineSpec {
             slots: 0,
@@ -79,13 +80,12 @@
         })
     }
 
-    /// Milliseconds since the request arrived.
+    /// Returns the milliseconds since the request arrived.
     pub fn age_ms(&self) -> u64 {
         self.arrived.elapsed().as_millis() as u64
     }
 
-    /// The request as it is sent on by `order`: method, path and body as
-    /// they came.
+    /// Returns the request to forward by `order`, with unchanged method, path and body.
     pub fn onward<C: PlatformCodec>(&self, order: &OnwardOrder) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -1,4 +1,4 @@
-//! Waits until engines have room for a stream.
+//! Queues streams until an engine has capacity for them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,30 +34,28 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// From the room's being found to the first event, where what is learned of it
-/// is not asked for.
+/// Time from the placement to the first event, used where the service's own estimate is not.
 pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
-/// The first in line looks again this often: room at a server may come free
-/// without any event of ours.
+/// Poll interval of the head of the queue: a server may gain capacity without an event at
+/// this gateway.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
-/// Within this the others usually know who is first here: a report takes a hop
-/// of under two milliseconds, and a wake-up at each end. Where its sender has told
-/// of much else it waits up to 50 ms for its budget, and two may meet.
+/// Time within which peers usually know the head of this queue: a report takes a network hop
+/// of under 2 ms and a wake-up at each end. A report of a sender with many other updates waits
+/// up to 50 ms for send budget, and two gateways may still collide.
 const REPORT_PROPAGATION_DELAY: Duration = Duration::from_millis(25);
-/// How soon to come back when a service has no server at all: about the
-/// time in which a new one registers.
+/// `Retry-After` while a service has no server: about the time in which a new one registers.
 const NO_SERVER_RETRY_AFTER: Duration = Duration::from_millis(1000);
-/// Callers give up on a stream after the longest of this, four target
-/// latencies and eight target gaps without an event.
+/// Callers time out after the longest of this, four target latencies and eight target gaps
+/// without an event.
 const MIN_CALLER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Room for a stream: the work is counted at both servers.
+/// The placement of a stream, whose load is counted at both servers.
 pub(super) struct PlacedStream {
     pub decode: LoadGuard,
     pub prefill: Option<LoadGuard>,
 }
 
-/// A place in line, given up when dropped.
+/// A place in the admission queue, left when dropped.
 struct QueueTicket<'a> {
     state: &'a Arc<GatewayState>,
     call: &'a Call,
@@ -75,8 +73,8 @@
     }
 }
 
-/// Waits in line until a decode server has room. The refusal, when there is
-/// none in time or the line is too long, is made at once.
+/// Waits in the admission queue until a decode server has capacity. Rejects the request at
+/// once when the queue is too long or no capacity is expected in time.
 pub(super) async fn wait_for_capacity(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -109,7 +107,7 @@
         let quarantine = attempts.quarantine_status(state, call);
         let is_undecided = quarantine.is_some_and(|quarantine| quarantine.is_undecided);
         if let Some(quarantine) = quarantine.filter(|_| !is_undecided) {
-            log_quarantined(call, quarantine, 0, "left the line");
+            log_quarantined(call, quarantine, 0, "left the queue");
             return Err(reject_call(
                 call,
                 Rejection::Quarantined,
@@ -167,14 +165,13 @@
     }
 }
 
-/// When the first in line, which it has been `since` then, may look for room: at
-/// once while nobody waits anywhere.
+/// Returns when the head of the queue, which it has been since `since`, may be placed: at once
+/// while no peer has queued requests.
 ///
-/// Guards against gateways that meet at an engine's last place: 250 requests a
-/// second look for room, one each 4 ms, and each that comes takes itself for
-/// the first of all until the others' reports say otherwise. A quarter of what
-/// 79 gateways placed in a burst was rejected by a full engine, its prompt read
-/// for nothing.
+/// Prevents gateways from competing for the last slot of an engine. At 250 requests per second
+/// a request looks for capacity every 4 ms, and each takes itself for the first of all queues
+/// until the reports of peers say otherwise. Without the delay, full engines reject a quarter
+/// of the requests that 79 gateways place in a burst, after a wasted prefill.
 fn earliest_placement(state: &GatewayState, call: &Call, since: Instant) -> Instant {
     if state.other_lines(&call.service).waiting == 0 {
         since
@@ -183,20 +180,20 @@
     }
 }
 
-/// True when the rate limits allow this gateway no request to a server that decodes
+/// Returns true when the rate limits allow this gateway no request to a decode server
 /// until after `until`.
 fn is_rate_limited_until(state: &GatewayState, call: &Call, until: Instant) -> bool {
     let now = Instant::now();
     next_send_after(state, call, now).is_some_and(|after| now + after > until)
 }
 
-/// When the lines ahead should have passed.
+/// Returns the `Retry-After` after which the queues of all gateways should have drained.
 pub(super) fn capacity_retry_after(state: &GatewayState, call: &Call) -> Duration {
     let peers = state.other_lines(&call.service);
     state.service_queues.with_line(&call.service, |queue| queue.retry_after(peers, Instant::now()))
 }
 
-/// Logs what decided that a request finds no room.
+/// Logs why a request finds no capacity.
 fn log_no_capacity(state: &GatewayState, call: &Call, peers: PeerQueues, predicted: Duration) {
     let waiting = state.service_queues.with_line(&call.service, |queue| queue.len());
     let now = Instant::now();
@@ -219,35 +216,34 @@
         gateways_heard = fleet.peers.heard(now),
         predicted_ms = predicted.as_millis() as u64,
         waited_ms = call.age_ms(),
-        "no room at any engine"
+        "no engine has capacity"
     );
 }
 
-/// What a stream of `shape` that stays for `stay` takes of an engine: half of
-/// its answer is held on the mean.
+/// Returns the KV cache tokens of a stream of `shape`, multiplied by its duration `stay` in
+/// milliseconds. On average an engine holds half of the output.
 fn kv_token_millis(shape: &PromptShape, stay: Duration) -> u64 {
     let kv_tokens = u64::from(shape.prompt_tokens) + u64::from(shape.expected_output()) / 2;
     kv_tokens.saturating_mul(stay.as_millis() as u64)
 }
 
-/// Until when an answer begun, which takes `opening` to its first event, is
-/// still on time.
+/// Returns the latest start at which a response that takes `opening` to its first event is
+/// within its latency target.
 ///
-/// The target counts from the caller's first try. Guards against callers who
-/// come back after a refusal, late in any case, taking room from those who
-/// could still be on time.
+/// The target counts from the caller's first attempt. This prevents callers that retry after a
+/// rejection, and are past their target anyway, from taking capacity from requests that can
+/// still meet theirs.
 fn latest_on_time_start(call: &Call, opening: &FirstEventTime) -> Instant {
     let target = call.route.target_latency.unwrap_or(MIN_CALLER_TIMEOUT);
     call.arrived + opening.latest_start(target).saturating_sub(call.tried_for)
 }
 
-/// When waiting ends: so that the first event still comes before the caller
-/// gives up on it, and the whole answer, which takes `run_time` from then on,
-/// before the deadline.
+/// Returns when waiting in the queue ends, so that the first event arrives before the caller
+/// times out, and the complete response, which takes `run_time` from then on, before the
+/// deadline.
 ///
-/// Guards against answers cut at their deadline: a caller that comes back
-/// after a refusal has little time left, and engines worked for seconds on
-/// what nobody got.
+/// Prevents responses from being cut at their deadline: a caller that retries after a rejection
+/// has little time left, and engines would work for seconds on responses that nobody receives.
 fn queue_deadline(call: &Call, run_time: Duration) -> Instant {
     let target = call.route.target_latency.unwrap_or_default();
     let gap = call.route.target_gap.unwrap_or_default();
--- a/crates/gateway/src/forward/event_reader.rs
+++ b/crates/gateway/src/forward/event_reader.rs
@@ -1,27 +1,27 @@
-//! Reads a streamed answer one whole event at a time.
+//! Reads a streamed response event by event.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// One whole event of a stream.
+/// One complete event of a stream.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StreamEvent {
     /// The event's id, if it has one.
     pub id: Option<u64>,
-    /// Its bytes as they came, with the blank line that ends it.
+    /// Its unchanged bytes, including the blank line that ends it.
     pub bytes: Bytes,
 }
 
-/// Splits bytes into whole events.
+/// Splits bytes into complete events.
 ///
-/// Guards against pieces of two runs being joined: a server may stop in the
-/// middle of an event, and only whole ones are passed on.
+/// A server may stop in the middle of an event. Forwarding only complete events prevents
+/// fragments of two runs from being joined.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
-    /// Where the search for the next end goes on.
+    /// Number of bytes already searched for the end of the event.
     searched: usize,
 }
 
@@ -31,7 +31,7 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event that has arrived.
+    /// Returns the next complete event.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let from = self.searched.saturating_sub(3);
         let window = &self.buffer[from..];
@@ -44,13 +44,13 @@
         Some(StreamEvent { id: event_id(&bytes), bytes })
     }
 
-    /// True when nothing of a further event has arrived.
+    /// Returns true when no part of a further event has arrived.
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 }
 
-/// Where the first event in `window` ends: behind its blank line.
+/// Returns the end of the first event in `window`, after its blank line.
 fn event_end(window: &[u8]) -> Option<usize> {
     let mut at = 0;
     while let Some(found) = window[at..].iter().position(|byte| *byte == b'\n') {
@@ -64,13 +64,13 @@
     None
 }
 
-/// The value of the event's `id` field.
+/// Returns the value of the event's `id` field.
 fn event_id(event: &[u8]) -> Option<u64> {
     let line = event.split(|byte| *byte == b'\n').find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(line).ok()?.trim().parse().ok()
 }
 
-/// Reads events from an answer's body.
+/// Reads events from the body of a response.
 #[derive(Debug)]
 pub struct EventReader {
     body: Incoming,
@@ -78,12 +78,12 @@
 }
 
 impl EventReader {
-    /// A reader of `body`.
+    /// Returns a reader of `body`.
     pub fn new(body: Incoming) -> Self {
         EventReader { body, splitter: EventSplitter::default() }
     }
 
-    /// The next whole event; `None` at the end of the body.
+    /// Returns the next complete event; `None` at the end of the body.
     pub async fn next_event(&mut self) -> Result<Option<StreamEvent>, hyper::Error> {
         loop {
             if let Some(event) = self.splitter.next_event() {
@@ -100,7 +100,7 @@
         }
     }
 
-    /// True when the body ended with a whole event.
+    /// Returns true when the body ended with a complete event.
     pub fn is_complete(&self) -> bool {
         self.splitter.is_empty()
     }
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one server, and what its answer's head says.
+//! One attempt of a call at one server, up to the response head.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -25,31 +25,31 @@
 use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
-/// Why a send gave no answer of the server's own.
+/// Why an attempt got no valid response from the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum SendFailure {
-    /// The server never saw the request.
+    /// The server never received the request.
     Unsent,
     /// The server states that it did not run it.
     NotRun,
-    /// The same, since it is another server, or does another part of the work.
+    /// Like [`SendFailure::NotRun`], since it is another server or has another stage.
     Misdirected,
-    /// No answer came in time.
+    /// No response arrived in time.
     Silent,
     /// The connection broke.
     Broken,
-    /// What came is no answer to this request.
+    /// The response is malformed or belongs to another request.
     Garbled,
 }
 
 impl SendFailure {
-    /// True when the server has certainly not run the request.
+    /// Returns true when the server has certainly not run the request.
     pub fn is_not_run(self) -> bool {
         matches!(self, SendFailure::Unsent | SendFailure::NotRun | SendFailure::Misdirected)
     }
 
-    /// What it says of the server's health.
+    /// Returns what the failure means for the server's health.
     pub fn outcome(self) -> ServerOutcome {
         match self {
             SendFailure::Unsent => ServerOutcome::Unreachable,
@@ -62,7 +62,7 @@
     }
 }
 
-/// An answer whose head is the server's own.
+/// A response with a valid head.
 #[derive(Debug)]
 pub struct OpenReply {
     pub response: Response<Incoming>,
@@ -71,12 +71,13 @@
     pub permit: SendPermit,
 }
 
-/// Where `server` is now, for a request that is sent at once: takes a token of its rate
-/// limit. `None` when it is no longer known, gets no new work, or has no token left.
+/// Returns the current address of `server` for a request that is sent at once, and takes a
+/// token of its rate limit. `None` when the server is unknown, is unavailable to new work, or
+/// has no token left.
 ///
-/// Guards against a server chosen before a prompt was read, which takes seconds
-/// where readers are slow or hang: it may have announced its leaving since, and
-/// the stream reached it 2.4 s after that.
+/// A server that was chosen before the prefill may have announced its departure since, as a
+/// prefill takes seconds where prefill servers are slow or hang. Without this check, a stream
+/// can reach such a server 2.4 s after the announcement.
 pub fn send_target(state: &GatewayState, server: &str) -> Option<SendTarget> {
     let now = Instant::now();
     let mut fleet = state.fleet();
@@ -90,7 +91,7 @@
     fleet.take_send_token(target.incarnation, now).then_some(target)
 }
 
-/// Sends `call` by `order` and waits up to `timeout` for the answer head.
+/// Sends `call` by `order` and waits up to `timeout` for the response head.
 pub async fn exchange<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -114,7 +115,7 @@
     };
     let timed_out = async {
         smol::Timer::after(timeout).await;
-        Err((SendFailure::Silent, format!("no answer within {} ms", timeout.as_millis())))
+        Err((SendFailure::Silent, format!("no response within {} ms", timeout.as_millis())))
     };
     let (response, connection) = match sent.or(timed_out).await {
         Ok(opened) => opened,
@@ -129,7 +130,7 @@
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().note_garbled(&target.server, Instant::now());
-        let problem = format!("status {status}, answers {:?}", head.request_id);
+        let problem = format!("status {status}, response to {:?}", head.request_id);
         return Err(record_failure(state, call, target, SendFailure::Garbled, &problem));
     }
     let is_misdirected = status == http::StatusCode::MISDIRECTED_REQUEST;
@@ -143,8 +144,7 @@
         }
         return Err(record_failure(state, call, target, failure, &format!("status {status}")));
     }
-    // A prefill server's answer is for us, and servers sign only what is for
-    // the caller.
+    // Servers sign only responses for callers; a prefill server's is for the gateway.
     let needs_signature = order.purpose != SendPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
         return Err(record_failure(state, call, target, SendFailure::Garbled, "not signed"));
@@ -152,14 +152,14 @@
     Ok(OpenReply { response, head, connection, permit })
 }
 
-/// True for an answer that says where it ends. One that ends with its
-/// connection looks whole also when its server has crashed, and so does not show
-/// that the server lived on.
+/// Returns true when the headers state where the body ends. A body that ends with its
+/// connection looks complete even if the server crashed, and so does not show that the server
+/// survived the request.
 pub fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(header::TRANSFER_ENCODING) || headers.contains_key(header::CONTENT_LENGTH)
 }
 
-/// Notes and logs a send that failed before its first event.
+/// Records and logs an attempt that failed before its first event.
 pub fn record_failure(
     state: &GatewayState,
     call: &Call,
@@ -170,7 +170,7 @@
     record_midstream_failure(state, call, target, failure, problem, Duration::ZERO)
 }
 
-/// The same for one whose server had given events for `lived`.
+/// Records and logs an attempt whose server failed after sending events for `run_duration`.
 pub fn record_midstream_failure(
     state: &GatewayState,
     call: &Call,
@@ -194,7 +194,7 @@
         failure = %failure,
         problem,
         elapsed_ms = call.age_ms(),
-        "send failed"
+        "attempt failed"
     );
     failure
 }
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,4 +1,4 @@
-//! One caller's request, end to end.
+//! Forwards one caller's request to servers and responds to it.
 
 mod admit;
 mod attempts;
@@ -39,7 +39,7 @@
 use crate::model::CallKind;
 use crate::state::GatewayState;
 
-/// Answers `call`, whatever becomes of it.
+/// Returns the response to `call`, from a server or of the gateway itself.
 pub async fn forward<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: Arc<Call>,
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -1,4 +1,4 @@
-//! A call that is answered whole: sent, and sent again where that is safe.
+//! Plain calls: sends them, and retries them where that is safe.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -35,19 +35,19 @@
 use crate::timing::by_deadline;
 use crate::upstream::SendTarget;
 
-/// How soon a refused caller of a plain call may come back: its servers
-/// work for tens of milliseconds a call, so room comes and goes that fast.
+/// `Retry-After` of rejected plain calls: servers work on a call for tens of milliseconds, so
+/// their capacity changes that fast.
 const RETRY_AFTER: Duration = Duration::from_millis(60);
-/// The share of the target latency after which an idempotent call goes to a
-/// second server as well: late enough that few do (calls take a fifth of
-/// their target on the mean), early enough that the second still meets it.
+/// Fraction of the target latency after which an idempotent call is hedged: late enough that
+/// few calls are (they take a fifth of their target on average), early enough that the second
+/// server can still meet the target.
 const HEDGE_LATENCY_FRACTION: f64 = 0.6;
-/// Hedged after this long where the route names no target.
+/// Hedge delay of routes without a target latency.
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
-/// How one send ended.
+/// The outcome of one attempt.
 enum SendOutcome {
-    /// The server's own answer, read whole.
+    /// The server's complete response.
     Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
@@ -63,16 +63,16 @@
     }
 }
 
-/// What the sends so far leave to answer with.
+/// What earlier attempts leave to respond with.
 #[derive(Default)]
 struct EarlierOutcomes {
-    /// A server's own failure: better than ours.
+    /// A server's error response, which takes precedence over the gateway's own.
     error_response: Option<Response<GatewayBody>>,
-    /// True when some server may have run the request.
+    /// True when a server may have run the request.
     may_have_run: bool,
 }
 
-/// Answers a plain call.
+/// Returns the response to a plain call.
 pub async fn run<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: Arc<Call>,
@@ -101,7 +101,7 @@
         };
         if outcome.is_final(&call) {
             let SendOutcome::Responded(response) = outcome else {
-                unreachable!("only answers are final")
+                unreachable!("only responses are final")
             };
             return complete(&call, response, &attempts);
         }
@@ -110,7 +110,7 @@
     finish(state, &call, &attempts, earlier)
 }
 
-/// Counts an outcome that is not final.
+/// Records an outcome that is not final.
 fn record_non_final(outcome: SendOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
     match outcome {
         SendOutcome::Responded(response) => {
@@ -127,8 +127,7 @@
     }
 }
 
-/// When to send to a second server as well; never for calls that may run
-/// only once.
+/// Returns the delay before the call is hedged; `None` for calls that may run only once.
 fn hedge_delay(call: &Call, attempts: &Attempts) -> Option<Duration> {
     let may_run_twice = call.route.is_repeatable() && attempts.runs + 2 <= call.route.max_attempts;
     may_run_twice.then(|| {
@@ -137,12 +136,11 @@
     })
 }
 
-/// Waits for `first`; once `after` has passed, sends to a second server as
-/// well and takes the first final answer. `None` when neither was final:
-/// both are taken in then.
+/// Waits for `first`; after the delay `after`, sends the call to a second server too and
+/// returns the first final outcome. Records both and returns `None` when neither is final.
 ///
-/// Guards against a server that has gone silent: without it the caller
-/// waits for the whole deadline, though others would answer at once.
+/// Prevents a caller from waiting until its deadline for a server that stopped responding
+/// while others would respond at once.
 async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
@@ -230,7 +228,7 @@
     }
 }
 
-/// Reads the answer's body; it counts only when it came whole.
+/// Reads the body of the response, which must be complete.
 async fn read_response<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -280,12 +278,12 @@
         status = response.status().as_u16(),
         sends = attempts.count(),
         elapsed_ms = elapsed.as_millis() as u64,
-        "answered"
+        "completed"
     );
     response
 }
 
-/// The answer when no send was final.
+/// Returns the response when no attempt had a final outcome.
 fn finish(
     state: &GatewayState,
     call: &Call,
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -1,4 +1,4 @@
-//! Has a prompt read by a prefill server.
+//! Prefills a prompt at a prefill server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,20 +22,20 @@
 use crate::state::GatewayState;
 use crate::upstream::SendTarget;
 
-/// What a prompt may take beyond a multiple of the usual time: a paused engine
-/// is not given up for a hiccup.
+/// Time allowed for a prefill beyond a multiple of the typical time, so that a short pause of
+/// an engine does not cause a time-out.
 const BASE_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many times the usual time for as many tokens a prompt may take. One that
-/// takes longer is stuck, and the decode server reads the prompt instead.
+/// Multiple of the typical time for the same number of tokens that a prefill may take. One
+/// that takes longer is stalled, and the decode server prefills the prompt instead.
 const TIMEOUT_FACTOR: u32 = 3;
-/// Prompt tokens read in a millisecond, at least, while no pace is known.
+/// Minimum number of prompt tokens prefilled per millisecond, assumed while no rate is known.
 const DEFAULT_TOKENS_PER_MS: f64 = 18.0;
 
-/// How long to wait for a prompt that ends `tokens_ahead` tokens from now.
+/// Returns the timeout of a prefill that completes after `tokens_ahead` tokens.
 ///
-/// Guards against prompts given up because they queue: read anew elsewhere,
-/// they make the queues longer, and healthy engines count as failed. With half
-/// the pace that the constants were made for, most were given up.
+/// Prevents prompts from timing out because they are queued: prefilled again at another server,
+/// they lengthen the queues, and healthy engines count as failed. At half the prefill rate
+/// that fixed timeouts assume, most prompts time out.
 fn prefill_timeout(state: &GatewayState, call: &Call, tokens_ahead: u32) -> Duration {
     let reading = state.learned(&call.service).balance.reading;
     let typical = reading.estimate(tokens_ahead).map(|typical| typical * TIMEOUT_FACTOR);
@@ -46,15 +46,15 @@
     BASE_TIMEOUT + typical.unwrap_or_else(slowest)
 }
 
-/// Prompt tokens that all gateways have at a server, this prompt's included.
+/// Returns the prompt tokens of all gateways at a server, including this prompt's.
 fn queued_prompt_tokens(state: &GatewayState, target: &SendTarget) -> u32 {
     let fleet = state.fleet();
     let server_state = fleet.server(&target.server);
     server_state.map_or(0, |server_state| fleet.load(server_state, Instant::now()).prompt_tokens)
 }
 
-/// Reads the prompt, and the answer up to `resume_after`, at the server of
-/// `hold`; the KV cache's guard.
+/// Prefills the prompt, and the response up to `resume_after`, at the server of `load_guard`.
+/// Returns the guard of the KV cache.
 pub async fn prefill<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -108,7 +108,7 @@
         tokens = result.tokens,
         tokens_ahead,
         took_ms = took.as_millis() as u64,
-        "prompt read"
+        "prefill completed"
     );
     let source = CacheSource { server: target.address, handle: result.handle };
     Ok(CacheGuard::new(state, target, source, call.id()))
--- a/crates/gateway/src/forward/probe_guard.rs
+++ b/crates/gateway/src/forward/probe_guard.rs
@@ -1,11 +1,11 @@
-//! A request that finds out whether servers still crash under its content.
+//! Probes, which check whether servers still crash while they run a quarantined request.
 
 use std::sync::Arc;
 
 use crate::model::RequestFingerprint;
 use crate::state::GatewayState;
 
-/// Tells when the request is over, however it ends.
+/// Ends the probe when dropped, regardless of its outcome.
 #[derive(Debug)]
 pub struct ProbeGuard {
     state: Arc<GatewayState>,
@@ -13,7 +13,7 @@
 }
 
 impl ProbeGuard {
-    /// A request of `content` goes out as a probe.
+    /// Returns the guard of a request that is sent as the probe of `fingerprint`.
     pub fn new(state: &Arc<GatewayState>, fingerprint: RequestFingerprint) -> Self {
         ProbeGuard { state: Arc::clone(state), fingerprint }
     }
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -1,4 +1,4 @@
-//! What a request is charged to its organisation's quota.
+//! The charge of a request to the quota of its organisation.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU8;
@@ -7,14 +7,13 @@
 use crate::cluster::OrganisationDigest;
 use crate::state::GatewayState;
 
-/// Given back when dropped, unless a server may have run the request.
+/// Refunded when dropped, since no server can have run the request yet.
 const PENDING: u8 = 0;
-/// A server may have run it.
+/// A server may have run the request.
 const COMMITTED: u8 = 1;
-/// Given back.
 const REFUNDED: u8 = 2;
 
-/// One charge, made once however often the request is sent.
+/// A charge, made once regardless of the number of attempts.
 #[derive(Debug)]
 pub struct QuotaCharge {
     state: Arc<GatewayState>,
@@ -24,18 +23,18 @@
 }
 
 impl QuotaCharge {
-    /// That of `cost` units, which have been charged.
+    /// Returns the charge of `cost` units, which are already deducted.
     pub fn new(state: &Arc<GatewayState>, organisation: OrganisationDigest, cost: u64) -> Self {
         QuotaCharge { state: Arc::clone(state), organisation, cost, phase: AtomicU8::new(PENDING) }
     }
 
-    /// The request is sent to a server that may run it.
+    /// Commits the charge when the request is sent to a server that may run it.
     pub fn commit(&self) {
         let _ =
             self.phase.compare_exchange(PENDING, COMMITTED, Ordering::AcqRel, Ordering::Acquire);
     }
 
-    /// The request has certainly not run, wherever it was sent.
+    /// Refunds the charge of a request that has certainly not run at any server.
     pub fn refund(&self) {
         if self.phase.swap(REFUNDED, Ordering::AcqRel) != REFUNDED {
             self.state.quotas.give_back(self.organisation, self.cost);
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers.
+//! Responses of the gateway itself, which reject requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,11 +20,11 @@
 use crate::quarantine::content_key;
 use crate::state::GatewayState;
 
-/// Retry delay when this gateway has no share of any server's rate limit; another gateway
+/// `Retry-After` when this gateway has no share of any server's rate limit; another gateway
 /// may have one.
 const NO_SHARE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why the gateway answers by itself.
+/// Why the gateway rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Rejection {
@@ -34,37 +34,37 @@
     NoRoute,
     /// The body is larger than allowed.
     TooLarge,
-    /// No organisation holds the request's key.
+    /// The request's key belongs to no organisation.
     UnknownKey,
-    /// Its route or key is unknown, and a newer configuration may know it.
+    /// Its route or key is unknown, but may be part of a newer configuration.
     ConfigUnsettled,
-    /// Its organisation's quota is spent.
+    /// The quota of its organisation is exhausted.
     QuotaSpent,
-    /// The request can't be understood.
+    /// The request is malformed.
     BadRequest,
-    /// The service has no server that takes work.
+    /// The service has no available server.
     NoServer,
-    /// All servers are full, and the line is too long.
+    /// No server has capacity, and the admission queue is too long.
     NoRoom,
     /// The rate limits of the servers allow no request in time.
     RateLimited,
-    /// Servers stated that they did not run it, and no more may be tried.
+    /// Servers stated that they did not run it, and no further attempt is allowed.
     NotRun,
-    /// The process is stopping and the request might not end in time.
+    /// The process is stopping and the request might not complete in time.
     Stopping,
-    /// Servers crash under such requests.
+    /// Servers crash while they run such requests.
     Quarantined,
     /// The deadline passed before it was sent.
     ExpiredUnsent,
-    /// The deadline passed while a server may have been at work.
+    /// The deadline passed while a server may have been running it.
     Expired,
-    /// A server that may have run it gave no usable answer.
+    /// A server that may have run it gave no usable response.
     OutcomeUnknown,
 }
 
 impl Rejection {
-    /// The status: 429 and 503 promise that the request has not run and
-    /// never will; 502 and 504 promise nothing.
+    /// Returns the status. 429 and 503 guarantee that the request has not run and never will;
+    /// 502 and 504 guarantee nothing.
     pub fn status(self) -> StatusCode {
         match self {
             Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -88,14 +88,13 @@
 }
 
 impl Rejection {
-    /// True for an answer that promises that the request has not run.
+    /// Returns true when the response guarantees that the request has not run.
     fn promises_not_run(self) -> bool {
         matches!(self.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
     }
 }
 
-/// The answer for `refusal`, with when to come back if the request has not
-/// run.
+/// Returns the response for `rejection`, with a `Retry-After` if the request has not run.
 pub fn reject(rejection: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
     let reason: &'static str = rejection.into();
     metrics::counter!("umberglade_refusals_total", "reason" => reason).increment(1);
@@ -112,9 +111,8 @@
     response
 }
 
-/// The refusal of `call` once no further send may be made. Only a request that
-/// certainly did not run gets a status that promises so; `usual` says when it
-/// may come back.
+/// Rejects `call` when no further attempt is allowed. Only a request that certainly did not run
+/// gets a status that guarantees it; `usual_delay` returns its usual `Retry-After`.
 pub fn reject_unanswered(
     state: &GatewayState,
     call: &Call,
@@ -140,8 +138,8 @@
     reject_call(call, rejection, retry_after, attempts.count())
 }
 
-/// Time until the rate limits allow this gateway to send `call` to a server that can
-/// answer it; zero when one allows it now, `None` when there is no such server.
+/// Returns the time until the rate limits allow this gateway to send `call` to a server that
+/// can answer it: zero when one allows it now, `None` when there is no such server.
 pub(super) fn next_send_after(state: &GatewayState, call: &Call, now: Instant) -> Option<Duration> {
     let fleet = state.fleet();
     let answers = |stage| stage != ServerStage::Prefill;
@@ -155,7 +153,7 @@
     Some(at.map_or(NO_SHARE_RETRY_AFTER, |at| at.saturating_duration_since(now)))
 }
 
-/// Like [`refuse`] for a routed call, with its log line.
+/// Like [`reject`], for a routed call, which is logged.
 pub fn reject_call(
     call: &Call,
     rejection: Rejection,
@@ -179,7 +177,7 @@
         sends,
         retry_after_ms = retry_after.map_or(0, |after| after.as_millis() as u64),
         elapsed_ms = call.age_ms(),
-        "refused"
+        "rejected"
     );
     reject(rejection, retry_after)
 }
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -1,4 +1,4 @@
-//! Relays a stream to its caller, event by event, also across servers.
+//! Relays a stream to its caller event by event, and resumes it at other servers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,15 +34,15 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// A pause this many target gaps long means that the server is stuck. A
-/// caller leaves after eight; the rest is for going on elsewhere.
+/// Number of target gaps without an event after which a stream counts as stalled. Callers
+/// disconnect after eight; the remaining time is for resuming at another server.
 const STALL_TIMEOUT_GAPS: u32 = 4;
-/// The same where the route names no target gap.
+/// Stall timeout of routes without a target gap.
 const DEFAULT_STALL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// How long the first event from another server may take.
+/// Timeout of the first event of a resumed stream.
 const RESUME_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How a relay ended.
+/// The outcome of a relayed stream.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 enum RelayOutcome {
@@ -52,14 +52,14 @@
     Broken,
 }
 
-/// Why a server's stream gives nothing further.
+/// Why a server's stream stopped.
 enum StreamStop {
     Ended,
     Failed(SendFailure, String),
     Expired,
 }
 
-/// Begins the answer; a task relays the rest.
+/// Returns the response, whose events a task relays.
 pub fn relay<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: Arc<Call>,
@@ -95,17 +95,17 @@
 
 struct Relay<C> {
     state: Arc<GatewayState>,
-    /// Held so that a graceful stop waits for the stream.
+    /// Makes a graceful stop wait for the stream.
     #[allow(dead_code)]
     in_flight: InFlightGuard,
     call: Arc<Call>,
     sender: Sender<BodyFrame>,
     attempts: Attempts,
-    /// The id of the last event passed on.
+    /// The id of the last relayed event.
     last_id: Option<u64>,
     relayed: u64,
     first_event: Duration,
-    /// When the last event was passed on.
+    /// When the last event was relayed.
     last_event_at: Instant,
     longest_gap: Duration,
     codec: std::marker::PhantomData<C>,
@@ -114,21 +114,21 @@
 impl<C: PlatformCodec> Relay<C> {
     async fn run(mut self, stream: OpenStream) {
         let sender = self.sender.clone();
-        // Guards against a server working on for a caller who left while no
-        // event was due: no write fails then, but the body is dropped.
+        // Prevents a server from working on when its caller disconnects between two events:
+        // no write fails then, but the body is dropped.
         let caller_left = async {
             sender.closed().await;
             RelayOutcome::CallerLeft
         };
         let end = self.relay_all(stream).or(caller_left).await;
         if matches!(end, RelayOutcome::Broken | RelayOutcome::Expired) {
-            // The receiver is gone only if the caller is.
+            // Fails only if the caller has disconnected.
             let _ = self.sender.send(Err(StreamBroken)).await;
         }
         self.log_end(end);
     }
 
-    /// Relays `stream` and, where allowed, what other servers add to it.
+    /// Relays `stream` and, where allowed, its continuation at other servers.
     async fn relay_all(&mut self, stream: OpenStream) -> RelayOutcome {
         let mut current = Box::new(stream);
         loop {
@@ -155,8 +155,8 @@
                 run_duration,
             );
             self.attempts.runs += 1;
-            // The connection closes here, before another server begins, so
-            // that two never work on one request.
+            // Closes the connection before another server starts, so that two servers never
+            // run the same request.
             drop(current);
             match self.resume().await {
                 Some(next) => current = next,
@@ -165,12 +165,11 @@
         }
     }
 
-    /// Relays one server's events until it stops; the error is the caller's
-    /// leaving.
+    /// Relays the events of one server until it stops. Fails when the caller disconnects.
     async fn relay_one(&mut self, stream: &mut OpenStream) -> Result<StreamStop, RelayOutcome> {
         let mut next = stream.first.take();
         let tokens_per_event = self.call.engine_spec().tokens_per_event;
-        // A resumed stream's earlier events were read in as part of it.
+        // The server of a resumed stream prefilled the tokens of the earlier events.
         let mut tokens = self.relayed as u32 * tokens_per_event;
         let stall_timeout = self
             .call
@@ -207,8 +206,8 @@
         }
     }
 
-    /// True when `event` is the one due: its id is the last one's successor.
-    /// Guards against a piece missing or coming twice after a resumption.
+    /// Returns true when the id of `event` is the successor of the last one. Prevents missing
+    /// or duplicate events after a stream is resumed.
     fn is_next(&self, event: &StreamEvent) -> bool {
         match (self.last_id, event.id) {
             (Some(last), Some(id)) => id == last + 1,
@@ -252,7 +251,7 @@
         }
     }
 
-    /// Goes on at another server behind the last event passed on.
+    /// Resumes the stream at another server after the last relayed event.
     async fn resume(&mut self) -> Option<Box<OpenStream>> {
         let resume_after = self.last_id.or(self.call.head.resume_after);
         loop {
@@ -284,7 +283,7 @@
                 after = resume_after,
                 relayed = self.relayed,
                 elapsed_ms = self.call.age_ms(),
-                "stream goes on elsewhere"
+                "stream resumed at another server"
             );
             metrics::counter!("umberglade_streams_resumed_total").increment(1);
             let timeout = RESUME_TIMEOUT.min(time_left);
@@ -332,7 +331,7 @@
             first_event_ms = self.first_event.as_millis() as u64,
             longest_gap_ms = self.longest_gap.as_millis() as u64,
             elapsed_ms = self.call.age_ms(),
-            "stream over"
+            "stream ended"
         );
     }
 }
--- a/crates/gateway/src/forward/response_body.rs
+++ b/crates/gateway/src/forward/response_body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use bytes::Bytes;
 use http_body_util::Either;
@@ -7,28 +7,28 @@
 use hyper::body::Frame;
 use snafu::Snafu;
 
-/// The stream ended early: the connection is closed without the mark of a
-/// whole body, so that the answer can't be taken for complete.
+/// The stream ended early. The connection is closed without the end mark of a complete
+/// body, so that callers cannot take the response for complete.
 #[derive(Debug, Clone, Copy, Snafu)]
-#[snafu(display("the answer ended early"))]
+#[snafu(display("the response ended early"))]
 pub struct StreamBroken;
 
-/// One piece of a streamed answer.
+/// One frame of a streamed response.
 pub type BodyFrame = Result<Frame<Bytes>, StreamBroken>;
-/// An answer's body: whole, or piece by piece.
+/// The body of a response: buffered or streamed.
 pub type GatewayBody = Either<Full<Bytes>, StreamBody<async_channel::Receiver<BodyFrame>>>;
 
-/// A body sent whole.
+/// Returns a body that is sent at once.
 pub fn full(body: Bytes) -> GatewayBody {
     Either::Left(Full::new(body))
 }
 
-/// A body sent piece by piece, and what feeds it. Dropping the sender ends
-/// the body as complete; a [`StreamBroken`] ends it as broken.
+/// Returns a streamed body and the sender of its frames. Dropping the sender completes the
+/// body; sending [`StreamBroken`] aborts it.
 pub fn streamed() -> (async_channel::Sender<BodyFrame>, GatewayBody) {
     let (sender, receiver) = async_channel::bounded(MAX_BUFFERED_FRAMES);
     (sender, Either::Right(StreamBody::new(receiver)))
 }
 
-/// Pieces that wait for a slow caller; then the server is made to wait.
+/// Number of frames buffered for a slow caller before backpressure reaches the server.
 const MAX_BUFFERED_FRAMES: usize = 16;
--- a/crates/gateway/src/forward/send_permit.rs
+++ b/crates/gateway/src/forward/send_permit.rs
@@ -1,28 +1,28 @@
-//! The right to send a request to a server once.
+//! Permits for single attempts at a server.
 
 use std::sync::Arc;
 
 use crate::model::ServiceName;
 use crate::state::GatewayState;
 
-/// What still has to be counted when the send is over.
+/// Whether the attempt still has to be counted as a retry when it is over.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum PendingCount {
-    /// Nothing: a request's first send is no repeat, and the allowance was
-    /// asked for any other.
+    /// No: the first attempt of a request is no retry, and any other has already consumed
+    /// from the retry budget.
     Settled,
-    /// A first prompt: a repeat unless the server accepts it, or never saw it.
+    /// A first prefill, which counts as a retry unless the server completes it or never
+    /// received it.
     FirstPrefill,
 }
 
-/// Lets a request be sent to one server once. Only [`Attempts`] makes one, and
-/// no request leaves the gateway without it.
+/// Permits one attempt at one server. Only [`Attempts`] creates permits, and no request is
+/// sent without one.
 ///
-/// Guards against a retry bound that is exceeded unseen: of the paths by which
-/// a request is sent (answers, hedges, resumed streams, prompts and prompts
-/// read again), one that forgot to ask or to count broke the bound in an
-/// overload, when 229 prompts that engines had queued were given up and sent
-/// elsewhere. What is not settled counts as a repeat.
+/// Prevents uncounted retries on any path that sends a request (first attempts, hedges,
+/// resumed streams, prefills and repeated prefills). A path that neither checks nor counts
+/// exceeds the retry limit under overload: 229 queued prefills timed out and were sent to
+/// other servers. An attempt that is not settled counts as a retry.
 ///
 /// [`Attempts`]: super::attempts::Attempts
 #[derive(Debug)]
@@ -33,12 +33,12 @@
 }
 
 impl SendPermit {
-    /// For a send that is no repeat, or that the allowance was asked for.
+    /// Returns a permit for a first attempt, or for one that has consumed retry budget.
     pub(super) fn settled(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
         SendPermit::new(state, service, PendingCount::Settled)
     }
 
-    /// For a request's first prompt.
+    /// Returns a permit for the first prefill of a request.
     pub(super) fn first_prefill(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
         SendPermit::new(state, service, PendingCount::FirstPrefill)
     }
@@ -47,7 +47,7 @@
         SendPermit { state: Arc::clone(state), service: service.clone(), pending_count }
     }
 
-    /// The server has done what it was asked, or never saw the request.
+    /// Settles the permit: the server completed the attempt or never received it.
     pub fn settle(mut self) {
         self.pending_count = PendingCount::Settled;
     }
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -1,4 +1,4 @@
-//! Opens a stream at a server: up to its first event.
+//! Opens a stream at a server, up to its first event.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -27,35 +27,35 @@
 use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
-/// A stream whose first event has come.
+/// A stream whose first event has arrived.
 #[derive(Debug)]
 pub struct OpenStream {
     pub status: StatusCode,
-    /// As the caller gets them.
+    /// The headers of the response to the caller.
     pub headers: HeaderMap,
     /// `None` for a stream that ended without any event.
     pub first: Option<StreamEvent>,
     pub reader: EventReader,
     pub target: SendTarget,
-    /// Kept once the stream has ended well; `None` when the server closes.
+    /// Returned to the pool when the stream completes; `None` if the server closes it.
     pub connection: Option<PooledConnection>,
     pub keep_alive: Option<Duration>,
-    /// False when its end looks like its server's.
+    /// False when its end cannot be told from a crash of its server.
     pub is_delimited: bool,
     pub load_guard: LoadGuard,
 }
 
-/// How opening a stream ended.
+/// The outcome of opening a stream.
 #[derive(Debug)]
 pub enum OpenOutcome {
     Stream(Box<OpenStream>),
-    /// The server's own failure, read whole.
+    /// The server's complete error response.
     Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
 
-/// Sends `call` by `order` to the server of `hold` and waits up to
-/// `timeout` for the first event.
+/// Sends `call` by `order` to the server of `load_guard` and waits up to `timeout` for the first
+/// event.
 pub async fn open<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -83,7 +83,7 @@
                 OpenOutcome::Responded(response)
             }
             Some(Err(error)) => fail(SendFailure::Broken, &error.to_string()),
-            None => fail(SendFailure::Silent, "no answer body in time"),
+            None => fail(SendFailure::Silent, "no response body in time"),
         };
     }
     let OpenReply { response, head, connection, .. } = reply;
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -1,4 +1,4 @@
-//! A call that is answered by a stream: room, prompt, events.
+//! Streamed calls: queues, prefills and opens them, with retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -34,17 +34,16 @@
 use crate::state::GatewayState;
 use crate::stop::CLOSE_TIME;
 
-/// A first event later than this is not coming, as long as another server
-/// may be tried: five times what it usually takes.
+/// Timeout of the first event while another server may be tried: five times the typical time.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// Answers a streamed call.
+/// Returns the response to a streamed call.
 pub async fn run<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: Arc<Call>,
     mut attempts: Attempts,
 ) -> Response<GatewayBody> {
-    // Begun this late in a stop, a stream would be cut by its outcome.
+    // A stream that starts this late in a stop would be cut by the end of the process.
     if state.stop.has_lasted(CLOSE_TIME) {
         return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
@@ -66,8 +65,8 @@
     open_with_retries::<C>(state, call, attempts, placed.decode, cache).await
 }
 
-/// Opens the stream at the server of `hold`, or at another where that is
-/// allowed, and relays it.
+/// Opens the stream at the server of `load_guard`, or at another where that is allowed, and
+/// relays it.
 async fn open_with_retries<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: Arc<Call>,
@@ -112,10 +111,9 @@
                 error_response = Some(response);
             }
             OpenOutcome::Failed(failure) if failure.is_not_run() => {
-                // The KV cache was not fetched, so it is offered on: reading
-                // the prompt again would cost as much as tens of tokens. A
-                // server that refused with it may have found it gone, and it
-                // is offered to one server more only.
+                // The KV cache was not fetched, so it is offered to the next server: another
+                // prefill would cost as much as tens of tokens. A server that rejected the
+                // request may have found the cache missing, so only one more is offered it.
                 let is_offered_again = failure == SendFailure::Unsent || rejected_with_cache == 0;
                 if failure == SendFailure::Unsent {
                     attempts.record_unsent();
@@ -147,15 +145,14 @@
     reject_unanswered(state, &call, &attempts, may_have_run, usual_delay)
 }
 
-/// How long to wait for a first event: to the outcome when no other server may
-/// be tried.
+/// Returns the timeout of the first event: the call's deadline if no other server may be tried.
 fn first_event_timeout(call: &Call, attempts: &Attempts) -> Duration {
     let time_left = call.time_left(Instant::now());
     let may_retry = call.route.is_repeatable() && attempts.runs + 1 < call.route.max_attempts;
     if may_retry { time_left.min(FIRST_EVENT_TIMEOUT) } else { time_left }
 }
 
-/// A decode server for a stream that could not be opened, or broke.
+/// Places a stream that failed, or could not be opened, at another decode server.
 pub fn place_retry(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -171,12 +168,11 @@
     Some(LoadGuard::begin(state, server, LoadShare::of_stream(&shape)))
 }
 
-/// Like [`elsewhere`], with the prompt read by a prefill server where that
-/// is allowed.
+/// Like [`place_retry`], with a prefill at a separate server where that is allowed.
 ///
-/// Guards against streams held up by others: a decode server reads prompts
-/// in small pieces between the tokens of its streams, and a few at once make
-/// pauses of half a second in all of them.
+/// Prevents retries from delaying other streams: a decode server prefills prompts in small
+/// chunks between the tokens of its streams, and a few at once pause all of them for half a
+/// second.
 pub async fn prefill_retry<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
@@ -192,7 +188,7 @@
     Some((decode, cache))
 }
 
-/// A prefill server near the decode server, if there is any.
+/// Returns a prefill server near the decode server, if there is one.
 fn nearby_prefill(state: &Arc<GatewayState>, call: &Call, decode: &LoadGuard) -> Option<ServerKey> {
     let fleet = state.fleet();
     let domain = fleet.server(&decode.server)?.entry.domain.clone();
--- a/crates/gateway/src/upstream/connection_pool.rs
+++ b/crates/gateway/src/upstream/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to backend servers.
+//! A pool of idle connections to backend servers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -13,36 +13,36 @@
 use crate::model::ServerIncarnation;
 use crate::model::ServerKey;
 
-/// How long a connection is connections when the server does not say: under the
-/// idle timeouts that servers commonly use.
+/// How long an idle connection is kept if the server states no keep-alive timeout: shorter than
+/// the idle timeouts that servers commonly use.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(3);
-/// Taken off the time a server states, which it counts from its own side
-/// and in whole seconds.
+/// Subtracted from a server's keep-alive timeout, which starts at the server and is stated in
+/// whole seconds.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections connections to one server. A server accepts a bounded number
-/// from all gateways; few are idle at once at one gateway's pace.
+/// Maximum number of idle connections to one server. A server accepts a bounded number from all
+/// gateways, and few are idle at once at the request rate of one gateway.
 const MAX_IDLE_PER_SERVER: usize = 6;
 
-/// A connection on which requests can be sent, one at a time.
+/// A connection that sends requests one at a time.
 pub type PooledConnection = SendRequest<Full<Bytes>>;
 
 #[derive(Debug)]
 struct IdleConnection {
-    /// The start of the server that it leads to.
+    /// The incarnation of the server that it is connected to.
     incarnation: ServerIncarnation,
     connection: PooledConnection,
     expires_at: Instant,
 }
 
-/// Idle connections, by server; the newest is used first, so that few are
-/// connections and these are used often.
+/// Idle connections by server. The newest is used first, so that the pool stays small and its
+/// connections are used often.
 #[derive(Debug, Default)]
 pub struct ConnectionPool {
     idle: Mutex<HashMap<ServerKey, Vec<IdleConnection>>>,
 }
 
 impl ConnectionPool {
-    /// Takes a connection that should still be open.
+    /// Takes a connection that is expected to be open.
     pub fn take(&self, target: &SendTarget, now: Instant) -> Option<PooledConnection> {
         let mut idle = self.idle.lock().expect("pool lock");
         let connections = idle.get_mut(&target.server)?;
@@ -55,8 +55,8 @@
         None
     }
 
-    /// Keeps a connection whose answer was read whole. `stated` is how long
-    /// the server says it keeps it.
+    /// Adds a connection whose response was read completely. `server_keep_alive` is the
+    /// keep-alive timeout that the server states.
     pub fn put(
         &self,
         target: &SendTarget,
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Drops the connections to a server that is gone.
+    /// Closes the connections to a server that was removed.
     pub fn remove_server(&self, server: &str) {
         self.idle.lock().expect("pool lock").remove(server);
     }
 
-    /// Drops connections that are past their time.
+    /// Closes expired connections.
     pub fn remove_expired(&self, now: Instant) {
         let mut idle = self.idle.lock().expect("pool lock");
         idle.retain(|_, connections| {
@@ -96,12 +96,12 @@
         });
     }
 
-    /// Connections connections now.
+    /// Returns the number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.lock().expect("pool lock").values().map(Vec::len).sum()
     }
 
-    /// True when none is connections.
+    /// Returns true when there are no idle connections.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
--- a/crates/gateway/src/upstream/sender.rs
+++ b/crates/gateway/src/upstream/sender.rs
@@ -1,4 +1,4 @@
-//! Sends one request to one server, on a kept connection if there is one.
+//! Sends a request to a server, on a pooled connection if there is one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -26,24 +26,23 @@
 use crate::model::ServerIncarnation;
 use crate::model::ServerKey;
 
-/// How long opening a connection may take: some ten round trips between
-/// failure domains. A server behind a cut answers nothing at all, and the
-/// request goes elsewhere while its target can still be met.
+/// Timeout of opening a connection: some ten round trips between failure domains. A server
+/// behind a network partition does not respond at all, and the request has to reach another one
+/// while its latency target can still be met.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Where a request is sent.
 #[derive(Debug, Clone)]
 pub struct SendTarget {
     pub server: ServerKey,
-    /// The start of the server that is meant.
+    /// The incarnation of the server that the request is for.
     pub incarnation: ServerIncarnation,
     pub address: SocketAddr,
-    /// False when a kept connection might hold stray bytes.
+    /// False when a pooled connection might contain stray bytes.
     pub may_reuse: bool,
 }
 
-/// Sends `request`, and returns the answer head with the connection it came
-/// on; the body is still unread.
+/// Sends `request` and returns the response head and its connection. The body is not read yet.
 pub async fn send(
     pool: &ConnectionPool,
     target: &SendTarget,
@@ -54,8 +53,8 @@
         while let Some(mut pooled) = pool.take(target, Instant::now()) {
             match pooled.try_send_request(request).await {
                 Ok(response) => return Ok((response, pooled)),
-                // The connection had closed before anything was written on
-                // it: the request is still ours to send.
+                // The connection closed before anything was written on it, so the request can
+                // be sent again.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => {
@@ -80,13 +79,13 @@
         ConnectTimeoutSnafu { peer, timeout_ms: CONNECT_TIMEOUT.as_millis() as u64 }.fail()
     };
     let stream = open.or(timed_out).await?;
-    // Without it the events of a stream wait for the acknowledgement of
-    // those before; a failure only costs that time.
+    // Without it, the events of a stream wait for the acknowledgement of earlier ones. A
+    // failure only costs that delay.
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
         http1::handshake(FuturesIo::new(stream)).await.context(HandshakeSnafu { peer })?;
     pool::spawn(async move {
-        // Its error also reaches whoever waits for the answer.
+        // The error also reaches the sender, which waits for the response.
         let _ = connection.await;
     });
     Ok(sender)
