--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -220,11 +220,11 @@
     );
 }
 
-/// Returns the KV cache tokens of a stream of `shape`, multiplied by its duration `stay` in
+/// Returns the KV cache tokens of a stream of `shape`, multiplied by its `duration` in
 /// milliseconds. On average an engine holds half of the output.
-fn kv_token_millis(shape: &PromptShape, stay: Duration) -> u64 {
+fn kv_token_millis(shape: &PromptShape, duration: Duration) -> u64 {
     let kv_tokens = u64::from(shape.prompt_tokens) + u64::from(shape.expected_output()) / 2;
-    kv_tokens.saturating_mul(stay.as_millis() as u64)
+    kv_tokens.saturating_mul(duration.as_millis() as u64)
 }
 
 /// Returns the latest start at which a response that takes `opening` to its first event is
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -142,14 +142,14 @@
 /// can answer it: zero when one allows it now, `None` when there is no such server.
 pub(super) fn next_send_after(state: &GatewayState, call: &Call, now: Instant) -> Option<Duration> {
     let fleet = state.fleet();
-    let answers = |stage| stage != ServerStage::Prefill;
+    let can_answer = |stage| stage != ServerStage::Prefill;
     if !fleet
         .open_servers(&call.service, now)
-        .any(|(server_state, _)| answers(server_state.entry.stage))
+        .any(|(server_state, _)| can_answer(server_state.entry.stage))
     {
         return None;
     }
-    let at = fleet.next_send_at(&call.service, answers, now);
+    let at = fleet.next_send_at(&call.service, can_answer, now);
     Some(at.map_or(NO_SHARE_RETRY_AFTER, |at| at.saturating_duration_since(now)))
 }
 
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -237,9 +237,9 @@
         let service_queues = &self.state.service_queues;
         service_queues.with_outputs(&self.call.service, |outputs| outputs.note(tokens, took));
         let prompt_tokens = self.call.prompt_shape().prompt_tokens;
-        let stay = stream.load_guard.age();
+        let duration = stream.load_guard.age();
         service_queues.with_balance(&self.call.service, |balance| {
-            balance.note_stream(prompt_tokens, tokens, stay);
+            balance.note_stream(prompt_tokens, tokens, duration);
         });
         self.state.note_outcome(&stream.target, ServerOutcome::Fine);
         if stream.is_delimited {
