--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -37,7 +37,7 @@
     Misdirected,
     /// No response arrived in time.
     Silent,
-    /// The connection broke.
+    /// The connection failed.
     Broken,
     /// The response is malformed or belongs to another request.
     Garbled,
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -7,7 +7,7 @@
 use crate::cluster::OrganisationDigest;
 use crate::state::GatewayState;
 
-/// Refunded when dropped, since no server can have run the request yet.
+/// Refunded when dropped, since the request was not sent to a server that may run it.
 const PENDING: u8 = 0;
 /// A server may have run the request.
 const COMMITTED: u8 = 1;
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -156,7 +156,7 @@
             );
             self.attempts.runs += 1;
             // Closes the connection before another server starts, so that two servers never
-            // run the same request.
+            // run the same request at the same time.
             drop(current);
             match self.resume().await {
                 Some(next) => current = next,
--- a/crates/gateway/src/forward/send_permit.rs
+++ b/crates/gateway/src/forward/send_permit.rs
@@ -21,8 +21,8 @@
 ///
 /// Prevents uncounted retries on any path that sends a request (first attempts, hedges,
 /// resumed streams, prefills and repeated prefills). A path that neither checks nor counts
-/// exceeds the retry limit under overload: 229 queued prefills timed out and were sent to
-/// other servers. An attempt that is not settled counts as a retry.
+/// exceeds the retry limit under overload, for example by 229 queued prefills that time out and
+/// are sent to other servers. An attempt that is not settled counts as a retry.
 ///
 /// [`Attempts`]: super::attempts::Attempts
 #[derive(Debug)]
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -34,7 +34,8 @@
 use crate::state::GatewayState;
 use crate::stop::CLOSE_TIME;
 
-/// Timeout of the first event while another server may be tried: five times the typical time.
+/// Timeout of the first event while another server may be tried: five times the typical time,
+/// after which the event is not expected to arrive.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// Returns the response to a streamed call.
