--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a call to one server, and what its answer's head says.
+//! One attempt of a call at one server, up to the response head.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,34 +22,34 @@
 use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 use crate::upstream;
-use crate::upstream::KeptConnection;
+use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
-/// Why a send gave no answer of the server's own.
+/// Why an attempt got no valid response from the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum SendFailure {
-    /// The server never saw the request.
+    /// The server never received the request.
     Unsent,
     /// The server states that it did not run it.
     NotRun,
-    /// The same, since it is another server, or does another part of the work.
+    /// Like [`SendFailure::NotRun`], since it is another server or has another stage.
     Misdirected,
-    /// No answer came in time.
+    /// No response arrived in time.
     Silent,
-    /// The connection broke.
+    /// The connection failed.
     Broken,
-    /// What came is no answer to this request.
+    /// The response is malformed or belongs to another request.
     Garbled,
 }
 
 impl SendFailure {
-    /// True when the server has certainly not run the request.
+    /// Returns true when the server has certainly not run the request.
     pub fn is_not_run(self) -> bool {
         matches!(self, SendFailure::Unsent | SendFailure::NotRun | SendFailure::Misdirected)
     }
 
-    /// What it says of the server's health.
+    /// Returns what the failure means for the server's health.
     pub fn outcome(self) -> ServerOutcome {
         match self {
             SendFailure::Unsent => ServerOutcome::Unreachable,
@@ -62,21 +62,22 @@
     }
 }
 
-/// An answer whose head is the server's own.
+/// A response with a valid head.
 #[derive(Debug)]
 pub struct OpenReply {
     pub response: Response<Incoming>,
     pub head: ReplyHead,
-    pub connection: KeptConnection,
+    pub connection: PooledConnection,
     pub permit: SendPermit,
 }
 
-/// Where `server` is now, for a request that is sent at once: takes a token of its rate
-/// limit. `None` when it is no longer known, gets no new work, or has no token left.
+/// Returns the current address of `server` for a request that is sent at once, and takes a
+/// token of its rate limit. `None` when the server is unknown, is unavailable to new work, or
+/// has no token left.
 ///
-/// Guards against a server chosen before a prompt was read, which takes seconds
-/// where readers are slow or hang: it may have announced its leaving since, and
-/// the stream reached it 2.4 s after that.
+/// A server that was chosen before the prefill may have announced its departure since, as a
+/// prefill takes seconds where prefill servers are slow or hang. Without this check, a stream
+/// can reach such a server 2.4 s after the announcement.
 pub fn send_target(state: &GatewayState, server: &str) -> Option<SendTarget> {
     let now = Instant::now();
     let mut fleet = state.fleet();
@@ -91,21 +92,21 @@
     fleet.take_send_token(target.incarnation, now).then_some(target)
 }
 
-/// Sends `call` by `order` and waits up to `patience` for the answer head.
+/// Sends `call` by `order` and waits up to `timeout` for the response head.
 pub async fn exchange<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
     order: &OnwardOrder,
     permit: SendPermit,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<OpenReply, SendFailure> {
     let request = call.onward::<C>(order);
     let sent_at = Instant::now();
     if order.purpose != SendPurpose::Prefill
         && let Some(charge) = &call.charge
     {
-        charge.keep();
+        charge.commit();
     }
     let sent = async {
         upstream::send(&state.pool, target, request).await.map_err(|error| {
@@ -113,25 +114,25 @@
             (failure, error.to_string())
         })
     };
-    let late = async {
-        smol::Timer::after(patience).await;
-        Err((SendFailure::Silent, format!("no answer within {} ms", patience.as_millis())))
+    let timed_out = async {
+        smol::Timer::after(timeout).await;
+        Err((SendFailure::Silent, format!("no response within {} ms", timeout.as_millis())))
     };
-    let (response, connection) = match sent.or(late).await {
-        Ok(answered) => answered,
+    let (response, connection) = match sent.or(timed_out).await {
+        Ok(opened) => opened,
         Err((failure, problem)) => {
             if failure == SendFailure::Unsent {
                 permit.settle();
             }
-            return Err(fail(state, call, target, failure, &problem));
+            return Err(record_failure(state, call, target, failure, &problem));
         }
     };
     let head = C::reply_head(response.headers());
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().record_malformed(&target.server, Instant::now());
-        let problem = format!("status {status}, answers {:?}", head.request_id);
-        return Err(fail(state, call, target, SendFailure::Garbled, &problem));
+        let problem = format!("status {status}, response to {:?}", head.request_id);
+        return Err(record_failure(state, call, target, SendFailure::Garbled, &problem));
     }
     let is_misdirected = status == http::StatusCode::MISDIRECTED_REQUEST;
     if !is_misdirected {
@@ -140,62 +141,61 @@
     if head.is_not_run || is_misdirected {
         let failure = if is_misdirected { SendFailure::Misdirected } else { SendFailure::NotRun };
         if !head.closes {
-            state.pool.keep(target, connection, head.keep_alive, Instant::now());
+            state.pool.put(target, connection, head.keep_alive, Instant::now());
         }
-        return Err(fail(state, call, target, failure, &format!("status {status}")));
+        return Err(record_failure(state, call, target, failure, &format!("status {status}")));
     }
-    // A prefill server's answer is for us, and servers sign only what is for
-    // the caller.
+    // Servers sign only responses for callers; a prefill server's is for the gateway.
     let needs_signature = order.purpose != SendPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
-        return Err(fail(state, call, target, SendFailure::Garbled, "not signed"));
+        return Err(record_failure(state, call, target, SendFailure::Garbled, "not signed"));
     }
     Ok(OpenReply { response, head, connection, permit })
 }
 
-/// True for an answer that says where it ends. One that ends with its
-/// connection looks whole also when its server has crashed, and so does not show
-/// that the server lived on.
+/// Returns true when the headers state where the body ends. A body that ends with its
+/// connection looks complete even if the server crashed, and so does not show that the server
+/// survived the request.
 pub fn is_delimited(headers: &HeaderMap) -> bool {
     headers.contains_key(header::TRANSFER_ENCODING) || headers.contains_key(header::CONTENT_LENGTH)
 }
 
-/// Notes and logs a send that failed before its first event.
-pub fn fail(
+/// Records and logs an attempt that failed before its first event.
+pub fn record_failure(
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
     failure: SendFailure,
     problem: &str,
 ) -> SendFailure {
-    fail_midway(state, call, target, failure, problem, Duration::ZERO)
+    record_midstream_failure(state, call, target, failure, problem, Duration::ZERO)
 }
 
-/// The same for one whose server had given events for `lived`.
-pub fn fail_midway(
+/// Records and logs an attempt whose server failed after sending events for `run_duration`.
+pub fn record_midstream_failure(
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
     failure: SendFailure,
     problem: &str,
-    lived: Duration,
+    run_duration: Duration,
 ) -> SendFailure {
     state.note_outcome(target, failure.outcome());
     if failure == SendFailure::Broken {
-        state.note_crash(call.id(), call.content, target, lived);
+        state.note_crash(call.id(), call.fingerprint, target, run_duration);
     }
     let kind = failure.to_string();
     metrics::counter!("umberglade_send_failures_total", "failure" => kind).increment(1);
     tracing::info!(
         event = events::SEND_FAILED,
         request_id = call.id(),
-        content = fingerprint_key(call.content),
+        content = fingerprint_key(call.fingerprint),
         server = %target.server,
         peer = %target.address,
         failure = %failure,
         problem,
         elapsed_ms = call.age_ms(),
-        "send failed"
+        "attempt failed"
     );
     failure
 }
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -1,4 +1,4 @@
-//! Has a prompt read by a prefill server.
+//! Prefills a prompt at a prefill server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,72 +22,73 @@
 use crate::state::GatewayState;
 use crate::upstream::SendTarget;
 
-/// What a prompt may take beyond a multiple of the usual time: a paused engine
-/// is not given up for a hiccup.
-const BASE_PATIENCE: Duration = Duration::from_millis(500);
-/// How many times the usual time for as many tokens a prompt may take. One that
-/// takes longer is stuck, and the decode server reads the prompt instead.
-const PATIENCE_TIMES: u32 = 3;
-/// Prompt tokens read in a millisecond, at least, while no pace is known.
-const UNKNOWN_TOKENS_PER_MS: f64 = 18.0;
+/// Time allowed for a prefill beyond a multiple of the typical time, so that a short pause of
+/// an engine does not cause a time-out.
+const BASE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Multiple of the typical time for the same number of tokens that a prefill may take. One
+/// that takes longer is stalled, and the decode server prefills the prompt instead.
+const TIMEOUT_FACTOR: u32 = 3;
+/// Minimum number of prompt tokens prefilled per millisecond, assumed while no rate is known.
+const DEFAULT_TOKENS_PER_MS: f64 = 18.0;
 
-/// How long to wait for a prompt that ends `tokens_ahead` tokens from now.
+/// Returns the timeout of a prefill that completes after `tokens_ahead` tokens.
 ///
-/// Guards against prompts given up because they queue: read anew elsewhere,
-/// they make the queues longer, and healthy engines count as failed. With half
-/// the pace that the constants were made for, most were given up.
-fn patience(state: &GatewayState, call: &Call, tokens_ahead: u32) -> Duration {
+/// Prevents prompts from timing out because they are queued: prefilled again at another server,
+/// they lengthen the queues, and healthy engines count as failed. At half the prefill rate
+/// that fixed timeouts assume, most prompts time out.
+fn prefill_timeout(state: &GatewayState, call: &Call, tokens_ahead: u32) -> Duration {
     let reading = state.learned(&call.service).balance.reading;
-    let usual = reading.estimate(tokens_ahead).map(|usual| usual * PATIENCE_TIMES);
+    let typical = reading.estimate(tokens_ahead).map(|typical| typical * TIMEOUT_FACTOR);
     let slowest = || {
-        let millis = f64::from(tokens_ahead) / UNKNOWN_TOKENS_PER_MS;
+        let millis = f64::from(tokens_ahead) / DEFAULT_TOKENS_PER_MS;
         Duration::from_secs_f64(millis / 1000.0)
     };
-    BASE_PATIENCE + usual.unwrap_or_else(slowest)
+    BASE_TIMEOUT + typical.unwrap_or_else(slowest)
 }
 
-/// Prompt tokens that all gateways have at a server, this prompt's included.
-fn tokens_at(state: &GatewayState, target: &SendTarget) -> u32 {
+/// Returns the prompt tokens of all gateways at a server, including this prompt's.
+fn queued_prompt_tokens(state: &GatewayState, target: &SendTarget) -> u32 {
     let fleet = state.fleet();
     let server_state = fleet.server(&target.server);
     server_state.map_or(0, |server_state| fleet.load(server_state, Instant::now()).prompt_tokens)
 }
 
-/// Reads the prompt, and the answer up to `resume_after`, at the server of
-/// `hold`; the KV cache's guard.
+/// Prefills the prompt, and the response up to `resume_after`, at the server of `load_guard`.
+/// Returns the guard of the KV cache.
 pub async fn prefill<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
-    hold: LoadGuard,
+    load_guard: LoadGuard,
     permit: SendPermit,
     resume_after: Option<u64>,
 ) -> Result<CacheGuard<C>, SendFailure> {
-    let target = exchange::send_target(state, &hold.server).ok_or(SendFailure::Unsent)?;
-    let begun = Instant::now();
-    let time_left = call.time_left(begun);
-    let tokens_ahead = tokens_at(state, &target).max(call.prompt_shape().prompt_tokens);
-    let patience = patience(state, call, tokens_ahead).min(time_left);
+    let target = exchange::send_target(state, &load_guard.server).ok_or(SendFailure::Unsent)?;
+    let started_at = Instant::now();
+    let time_left = call.time_left(started_at);
+    let tokens_ahead = queued_prompt_tokens(state, &target).max(call.prompt_shape().prompt_tokens);
+    let timeout = prefill_timeout(state, call, tokens_ahead).min(time_left);
     let order = OnwardOrder {
         server: target.server.clone(),
         time_left,
         purpose: SendPurpose::Prefill,
         resume_after,
     };
-    let reply = exchange::exchange::<C>(state, call, &target, &order, permit, patience).await?;
+    let reply = exchange::exchange::<C>(state, call, &target, &order, permit, timeout).await?;
     let status = reply.response.status();
     let read = async {
         let collected = reply.response.into_body().collect().await;
         collected.map_err(|error| (SendFailure::Broken, error.to_string()))
     };
-    let late = async {
-        smol::Timer::at(begun + patience).await;
+    let timed_out = async {
+        smol::Timer::at(started_at + timeout).await;
         Err((SendFailure::Silent, "the body did not arrive in time".to_owned()))
     };
-    let fail = |failure, problem: &str| exchange::fail(state, call, &target, failure, problem);
-    let body = read.or(late).await.map_err(|(failure, problem)| fail(failure, &problem))?;
+    let fail =
+        |failure, problem: &str| exchange::record_failure(state, call, &target, failure, problem);
+    let body = read.or(timed_out).await.map_err(|(failure, problem)| fail(failure, &problem))?;
     let body = body.to_bytes();
     if !reply.head.closes {
-        state.pool.keep(&target, reply.connection, reply.head.keep_alive, Instant::now());
+        state.pool.put(&target, reply.connection, reply.head.keep_alive, Instant::now());
     }
     if !status.is_success() {
         return Err(fail(SendFailure::Garbled, &format!("status {status}")));
@@ -95,7 +96,7 @@
     let result =
         C::prefill_result(&body).map_err(|error| fail(SendFailure::Garbled, &error.to_string()))?;
     reply.permit.settle();
-    let took = begun.elapsed();
+    let took = started_at.elapsed();
     state
         .service_queues
         .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
@@ -107,7 +108,7 @@
         tokens = result.tokens,
         tokens_ahead,
         took_ms = took.as_millis() as u64,
-        "prompt read"
+        "prefill completed"
     );
     let source = CacheSource { server: target.address, handle: result.handle };
     Ok(CacheGuard::new(state, target, source, call.id()))
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -1,4 +1,4 @@
-//! The gateway's own answers.
+//! Responses of the gateway itself, which reject requests.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -13,18 +13,18 @@
 use super::Call;
 use super::GatewayBody;
 use super::admit::retry_after;
-use super::answer;
 use super::attempts::Attempts;
+use super::response_body;
 use crate::events;
 use crate::model::ServerStage;
 use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 
-/// Retry delay when this gateway has no share of any server's rate limit; another gateway
+/// `Retry-After` when this gateway has no share of any server's rate limit; another gateway
 /// may have one.
-const NO_SHARE_RETRY: Duration = Duration::from_secs(1);
+const NO_SHARE_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Why the gateway answers by itself.
+/// Why the gateway rejects a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, strum::IntoStaticStr)]
 #[strum(serialize_all = "snake_case")]
 pub enum Rejection {
@@ -34,37 +34,37 @@
     NoRoute,
     /// The body is larger than allowed.
     TooLarge,
-    /// No organisation holds the request's key.
+    /// The request's key belongs to no organisation.
     UnknownKey,
-    /// Its route or key is unknown, and a newer configuration may know it.
+    /// Its route or key is unknown, but may be part of a newer configuration.
     ConfigUnsettled,
-    /// Its organisation's quota is spent.
+    /// The quota of its organisation is exhausted.
     QuotaSpent,
-    /// The request can't be understood.
+    /// The request is malformed.
     BadRequest,
-    /// The service has no server that takes work.
+    /// The service has no available server.
     NoServer,
-    /// All servers are full, and the line is too long.
+    /// No server has capacity, and the admission queue is too long.
     NoRoom,
     /// The rate limits of the servers allow no request in time.
     RateLimited,
-    /// Servers stated that they did not run it, and no more may be tried.
+    /// Servers stated that they did not run it, and no further attempt is allowed.
     NotRun,
-    /// The process is stopping and the request might not end in time.
+    /// The process is stopping and the request might not complete in time.
     Stopping,
-    /// Servers crash under such requests.
+    /// Servers crash while they run such requests.
     Quarantined,
     /// The deadline passed before it was sent.
     ExpiredUnsent,
-    /// The deadline passed while a server may have been at work.
+    /// The deadline passed while a server may have been running it.
     Expired,
-    /// A server that may have run it gave no usable answer.
+    /// A server that may have run it gave no usable response.
     OutcomeUnknown,
 }
 
 impl Rejection {
-    /// The status: 429 and 503 promise that the request has not run and
-    /// never will; 502 and 504 promise nothing.
+    /// Returns the status. 429 and 503 guarantee that the request has not run and never will;
+    /// 502 and 504 guarantee nothing.
     pub fn status(self) -> StatusCode {
         match self {
             Rejection::UnknownKey => StatusCode::UNAUTHORIZED,
@@ -88,20 +88,19 @@
 }
 
 impl Rejection {
-    /// True for an answer that promises that the request has not run.
+    /// Returns true when the response guarantees that the request has not run.
     fn promises_not_run(self) -> bool {
         matches!(self.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
     }
 }
 
-/// The answer for `refusal`, with when to come back if the request has not
-/// run.
-pub fn refuse(refusal: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
-    let reason: &'static str = refusal.into();
+/// Returns the response for `rejection`, with a `Retry-After` if the request has not run.
+pub fn reject(rejection: Rejection, retry_after: Option<Duration>) -> Response<GatewayBody> {
+    let reason: &'static str = rejection.into();
     metrics::counter!("umberglade_refusals_total", "reason" => reason).increment(1);
     let body = Bytes::from(format!("{{\"error\":\"{reason}\"}}"));
-    let mut response = Response::new(answer::whole(body));
-    *response.status_mut() = refusal.status();
+    let mut response = Response::new(response_body::full(body));
+    *response.status_mut() = rejection.status();
     let headers = response.headers_mut();
     headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
     if let Some(after) = retry_after
@@ -112,74 +111,73 @@
     response
 }
 
-/// The refusal of `call` once no further send may be made. Only a request that
-/// certainly did not run gets a status that promises so; `usual` says when it
-/// may come back.
-pub fn refuse_unanswered(
+/// Rejects `call` when no further attempt is allowed. Only a request that certainly did not run
+/// gets a status that guarantees it; `usual_delay` returns its usual `Retry-After`.
+pub fn reject_unanswered(
     state: &GatewayState,
     call: &Call,
     attempts: &Attempts,
     may_have_run: bool,
-    usual: impl FnOnce() -> Duration,
+    usual_delay: impl FnOnce() -> Duration,
 ) -> Response<GatewayBody> {
     let now = Instant::now();
-    let is_late = now >= call.deadline;
-    let held = state.quarantines.status(call.content);
+    let is_expired = now >= call.deadline;
+    let quarantine = state.quarantines.status(call.fingerprint);
     let next_send_after = next_send_after(state, call, now);
-    let (refusal, retry_after) = match (may_have_run, is_late, held) {
+    let (rejection, retry_after) = match (may_have_run, is_expired, quarantine) {
         (true, true, _) => (Rejection::Expired, None),
         (true, false, _) => (Rejection::OutcomeUnknown, None),
-        (false, false, Some(held)) => (Rejection::Quarantined, Some(retry_after(held))),
-        (false, true, _) => (Rejection::ExpiredUnsent, Some(usual())),
+        (false, false, Some(quarantine)) => (Rejection::Quarantined, Some(retry_after(quarantine))),
+        (false, true, _) => (Rejection::ExpiredUnsent, Some(usual_delay())),
         (false, false, None) if next_send_after.is_some_and(|after| !after.is_zero()) => {
-            (Rejection::RateLimited, next_send_after.map(|after| after.max(usual())))
+            (Rejection::RateLimited, next_send_after.map(|after| after.max(usual_delay())))
         }
-        (false, false, None) if attempts.sends() == 0 => (Rejection::NoServer, Some(usual())),
-        (false, false, None) => (Rejection::NotRun, Some(usual())),
+        (false, false, None) if attempts.count() == 0 => (Rejection::NoServer, Some(usual_delay())),
+        (false, false, None) => (Rejection::NotRun, Some(usual_delay())),
     };
-    reject_call(call, refusal, retry_after, attempts.sends())
+    reject_call(call, rejection, retry_after, attempts.count())
 }
 
-/// Time until the rate limits allow this gateway to send `call` to a server that can
-/// answer it; zero when one allows it now, `None` when there is no such server.
+/// Returns the time until the rate limits allow this gateway to send `call` to a server that
+/// can answer it: zero when one allows it now, `None` when there is no such server.
 pub(super) fn next_send_after(state: &GatewayState, call: &Call, now: Instant) -> Option<Duration> {
     let fleet = state.fleet();
-    let answers = |stage| stage != ServerStage::Prefill;
+    let can_answer = |stage| stage != ServerStage::Prefill;
     if !fleet
         .available_servers(&call.service, now)
-        .any(|(server_state, _)| answers(server_state.entry.stage))
+        .any(|(server_state, _)| can_answer(server_state.entry.stage))
     {
         return None;
     }
-    let at = fleet.next_send_at(&call.service, answers, now);
-    Some(at.map_or(NO_SHARE_RETRY, |at| at.saturating_duration_since(now)))
+    let at = fleet.next_send_at(&call.service, can_answer, now);
+    Some(at.map_or(NO_SHARE_RETRY_AFTER, |at| at.saturating_duration_since(now)))
 }
 
-/// Like [`refuse`] for a routed call, with its log line.
+/// Like [`reject`], for a routed call, which is logged.
 pub fn reject_call(
     call: &Call,
-    refusal: Rejection,
+    rejection: Rejection,
     retry_after: Option<Duration>,
     sends: u32,
 ) -> Response<GatewayBody> {
-    if refusal.promises_not_run()
+    if rejection.promises_not_run()
         && let Some(charge) = &call.charge
     {
-        charge.give_back();
+        charge.refund();
     }
     tracing::info!(
         event = events::CALL_REFUSED,
         request_id = call.id(),
-        content = fingerprint_key(call.content),
+        content = fingerprint_key(call.fingerprint),
         route = %call.route.name,
         service = %call.service,
         config = call.config,
-        reason = %refusal,
-        status = refusal.status().as_u16(),
+        reason = %rejection,
+        status = rejection.status().as_u16(),
         sends,
         retry_after_ms = retry_after.map_or(0, |after| after.as_millis() as u64),
         elapsed_ms = call.age_ms(),
-        "refused"
+        "rejected"
     );
-    refuse(refusal, retry_after)
+    reject(rejection, retry_after)
 }
