--- a/crates/umberglade/tests/gateway_process.rs
+++ b/crates/umberglade/tests/gateway_process.rs
@@ -17,9 +17,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use umberglade_platform_standin::DEFAULT_SERVERS;
 use umberglade_platform_standin::ServerOptions;
 use umberglade_platform_standin::Site;
-use umberglade_platform_standin::USUAL_SERVERS;
 use umberglade_wire::pool;
 
 /// Longer than anything here takes: tells a hang from an answer.
@@ -129,7 +129,7 @@
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         pool::block_on(async move {
-            let site = Site::start_with(&USUAL_SERVERS, options).await;
+            let site = Site::start_with(&DEFAULT_SERVERS, options).await;
             sender.send(site.store_address.to_string()).expect("a waiting test");
             std::future::pending::<()>().await;
         });
