--- a/crates/gateway/src/cluster/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -26,7 +26,7 @@
         sent_at: Instant,
         now: Instant,
     ) -> Option<ServerLimitChange> {
-        let change = self.limits.note_answer(server, stated, sent_at, now)?;
+        let change = self.limits.record_response(server, stated, sent_at, now)?;
         self.update_share(server, now);
         Some(change)
     }
@@ -37,7 +37,7 @@
         update: LimitUpdate,
         now: Instant,
     ) -> Option<ServerLimitChange> {
-        let change = self.limits.hear(update, now)?;
+        let change = self.limits.apply_peer_limit(update, now)?;
         self.update_share(update.server, now);
         Some(change)
     }
--- a/crates/gateway/src/cluster/limit_share.rs
+++ b/crates/gateway/src/cluster/limit_share.rs
@@ -7,9 +7,9 @@
 const MIN_RATE: f64 = 0.1;
 /// Gateways with a share of the limit for each request per second, in addition to
 /// [`MIN_HOLDERS`].
-const HOLDERS_PER_RATE: f64 = 1.5;
+const GATEWAYS_PER_RATE: f64 = 1.5;
 /// Gateways with a share of the lowest limit.
-const MIN_HOLDERS: f64 = 2.0;
+const MIN_GATEWAYS: f64 = 2.0;
 
 /// Where a gateway stands among those that may send to a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -27,9 +27,9 @@
 /// and all send at the same time.
 pub fn limit_share(limit: RequestRate, rank: LimitRank) -> f64 {
     let rate = limit.per_second().max(MIN_RATE);
-    let most = (HOLDERS_PER_RATE * rate + MIN_HOLDERS) as usize;
-    let holders = most.min(rank.gateways.max(1));
-    if rank.before < holders { rate / holders as f64 } else { 0.0 }
+    let max_sharing = (GATEWAYS_PER_RATE * rate + MIN_GATEWAYS) as usize;
+    let sharing = max_sharing.min(rank.gateways.max(1));
+    if rank.before < sharing { rate / sharing as f64 } else { 0.0 }
 }
 
 /// An equal share for each of the registered `gateways`, used by a gateway that hears too
--- a/crates/gateway/src/cluster/quota_pool.rs
+++ b/crates/gateway/src/cluster/quota_pool.rs
@@ -15,12 +15,12 @@
 /// An organisation's name as its digest: quotas are per name, whatever its keys.
 pub type OrganisationDigest = u32;
 /// A gateway that has run for this much longer than another was there before it.
-const BEFORE: Duration = Duration::from_millis(500);
+const PRIOR_START_MARGIN: Duration = Duration::from_millis(500);
 /// What a gateway charged while it was not heard for longer may be past by now.
-const LATE: Duration = Duration::from_secs(3);
+const LATE_REPORT_AGE: Duration = Duration::from_secs(3);
 /// How long a gateway that is not heard is remembered: what it charged is known
 /// when it is heard again, frozen or cut off meanwhile.
-const PEER_MEMORY: Duration = Duration::from_secs(600);
+const PEER_RETENTION: Duration = Duration::from_secs(600);
 
 /// The digest of an organisation's name, as it stands in reports.
 pub fn organisation_digest(name: &str) -> OrganisationDigest {
@@ -31,8 +31,8 @@
 #[derive(Debug)]
 struct PeerCharges {
     incarnation: u64,
-    heard_at: Instant,
-    told: FxHashMap<OrganisationDigest, ChargeUpdate>,
+    received_at: Instant,
+    reported: FxHashMap<OrganisationDigest, ChargeUpdate>,
 }
 
 /// The quotas of all organisations.
@@ -45,15 +45,15 @@
 /// no more than its part of the quota.
 #[derive(Debug)]
 pub struct QuotaPool {
-    begun: Instant,
+    started_at: Instant,
     accounts: FxHashMap<OrganisationDigest, QuotaAccount>,
     peers: FxHashMap<u64, PeerCharges>,
 }
 
 impl QuotaPool {
     /// That of a gateway that has begun at `begun`.
-    pub fn new(begun: Instant) -> Self {
-        QuotaPool { begun, accounts: FxHashMap::default(), peers: FxHashMap::default() }
+    pub fn new(started_at: Instant) -> Self {
+        QuotaPool { started_at, accounts: FxHashMap::default(), peers: FxHashMap::default() }
     }
 
     /// A configuration with `organisations` is in force; the names whose limit has
@@ -103,14 +103,14 @@
     }
 
     /// Gives back `cost` units that were charged for what has not run.
-    pub fn give_back(&mut self, organisation: OrganisationDigest, cost: u64, now: Instant) {
+    pub fn refund(&mut self, organisation: OrganisationDigest, cost: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
-            account.give_back(cost as f64, now);
+            account.refund(cost as f64, now);
         }
     }
 
     /// Takes in what `peer`, which has run for `age`, has charged.
-    pub fn hear(
+    pub fn apply_peer_charges(
         &mut self,
         peer: u64,
         incarnation: u64,
@@ -119,34 +119,34 @@
         view: &QuotaView,
         now: Instant,
     ) {
-        let was_before = age > now.saturating_duration_since(self.begun) + BEFORE;
+        let is_older = age > now.saturating_duration_since(self.started_at) + PRIOR_START_MARGIN;
         let known = self.peers.entry(peer).or_insert_with(|| PeerCharges {
             incarnation,
-            heard_at: now,
-            told: FxHashMap::default(),
+            received_at: now,
+            reported: FxHashMap::default(),
         });
-        let is_late = now.saturating_duration_since(known.heard_at) > LATE;
-        known.heard_at = now;
+        let is_late = now.saturating_duration_since(known.received_at) > LATE_REPORT_AGE;
+        known.received_at = now;
         if known.incarnation != incarnation {
-            *known = PeerCharges { incarnation, heard_at: now, told: FxHashMap::default() };
+            *known = PeerCharges { incarnation, received_at: now, reported: FxHashMap::default() };
         }
-        for (organisation, news) in charges {
-            let before = known.told.insert(*organisation, *news);
+        for (organisation, update) in charges {
+            let previous = known.reported.insert(*organisation, *update);
             let Some(account) = self.accounts.get_mut(organisation) else { continue };
-            match before {
-                Some(before) => {
-                    account.note_asked(news.asked.saturating_sub(before.asked) as f64, now);
-                    let units = (news.total - before.total) as f64;
+            match previous {
+                Some(previous) => {
+                    account.apply_demand(update.asked.saturating_sub(previous.asked) as f64, now);
+                    let units = (update.total - previous.total) as f64;
                     if is_late {
-                        account.take_late(units, view, now);
+                        account.apply_late_charge(units, view, now);
                     } else {
-                        account.take_heard(units, now);
+                        account.apply_charge(units, now);
                     }
                 }
-                None if was_before => account.take_earlier(news.recent as f64, now),
+                None if is_older => account.apply_prior_charge(update.recent as f64, now),
                 None => {
-                    account.note_asked(news.asked as f64, now);
-                    account.take_heard(news.recent as f64, now);
+                    account.apply_demand(update.asked as f64, now);
+                    account.apply_charge(update.recent as f64, now);
                 }
             }
         }
@@ -154,17 +154,20 @@
 
     /// What a report tells of this gateway's charges: those that have changed since
     /// the last, or with `tells_all` all.
-    pub fn news(&mut self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
+    pub fn updates(&mut self, reports_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self.accounts.iter_mut();
-        let told = accounts
-            .filter_map(|(organisation, account)| Some((*organisation, account.tell(tells_all)?)));
-        told.collect()
+        let updates = accounts
+            .filter_map(|(digest, account)| Some((*digest, account.take_update(reports_all)?)));
+        updates.collect()
     }
 
     /// What this gateway charged within the window, for those that are told rarely.
-    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
-        let accounts = self.accounts.iter().map(|(organisation, of)| (*organisation, of.news()));
-        accounts.filter(|(_, news)| news.recent > 0).collect()
+    pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
+        let accounts = self
+            .accounts
+            .iter()
+            .map(|(organisation, account)| (*organisation, account.charge_update()));
+        accounts.filter(|(_, update)| update.recent > 0).collect()
     }
 
     /// Drops what has left the window, and forgets gateways that are long gone.
@@ -172,7 +175,8 @@
         for account in self.accounts.values_mut() {
             account.expire(view, now);
         }
-        self.peers.retain(|_, peer| now.saturating_duration_since(peer.heard_at) < PEER_MEMORY);
+        self.peers
+            .retain(|_, peer| now.saturating_duration_since(peer.received_at) < PEER_RETENTION);
     }
 
     /// The limit of `organisation` and what is left of it; `None` without one.
--- a/crates/gateway/src/cluster/rendezvous_score.rs
+++ b/crates/gateway/src/cluster/rendezvous_score.rs
@@ -4,10 +4,10 @@
 
 /// An odd multiplier whose upper product bits depend on all lower ones: 2^64
 /// over the golden ratio, as in multiplicative hashing.
-const MIX: u64 = 0x9E37_79B9_7F4A_7C15;
+const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// The rendezvous hash of the gateway with digest `gateway` and `server`; every gateway
 /// computes the same value.
 pub(super) fn rendezvous_score(gateway: u64, server: ServerIncarnation) -> u32 {
-    ((gateway ^ server).wrapping_mul(MIX) >> 32) as u32
+    ((gateway ^ server).wrapping_mul(MULTIPLIER) >> 32) as u32
 }
--- a/crates/gateway/src/cluster/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -12,10 +12,10 @@
 use crate::model::StatedLimit;
 
 /// How long a changed limit is eligible for every report.
-const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
+const REPORT_WINDOW: Duration = Duration::from_secs(3);
 
 /// Maximum number of limits in a report; they take up at most a quarter of a datagram.
-const MAX_TOLD: usize = 96;
+const MAX_REPORTED: usize = 96;
 
 /// The last known limit of one server incarnation.
 #[derive(Debug)]
@@ -50,7 +50,7 @@
     /// An answer without a limit lifts a known one only if its request was sent after
     /// the last update. This keeps an answer that was generated before the limit was
     /// stated, but arrives later, from lifting it.
-    pub fn note_answer(
+    pub fn record_response(
         &mut self,
         server: ServerIncarnation,
         stated: StatedLimit,
@@ -73,29 +73,33 @@
 
     /// Applies a limit reported by another gateway unless a newer one is known, and returns
     /// the change, if any.
-    pub fn hear(&mut self, news: LimitUpdate, now: Instant) -> Option<ServerLimitChange> {
-        let age = Duration::from_millis(u64::from(news.age_ms));
+    pub fn apply_peer_limit(
+        &mut self,
+        update: LimitUpdate,
+        now: Instant,
+    ) -> Option<ServerLimitChange> {
+        let age = Duration::from_millis(u64::from(update.age_ms));
         let updated_at = now.checked_sub(age)?;
         let is_newer =
-            self.limits.get(news.server).is_none_or(|known| known.updated_at < updated_at);
+            self.limits.get(update.server).is_none_or(|known| known.updated_at < updated_at);
         if !is_newer {
             return None;
         }
-        self.set(news.server, news.rate, updated_at, now)
+        self.set(update.server, update.rate, updated_at, now)
     }
 
     /// The limits that a report includes: recent changes, or with `tells_all` every entry,
     /// lifted limits included. If there are more than [`MAX_TOLD`], a random sample.
-    pub fn news(&self, tells_all: bool, now: Instant) -> Vec<LimitUpdate> {
+    pub fn updates(&self, reports_all: bool, now: Instant) -> Vec<LimitUpdate> {
         let is_recent =
-            |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < CHANGE_TOLD_FOR;
-        let told = self.limits.iter().filter(|(_, limit)| tells_all || is_recent(limit));
-        let news = told.map(|(server, limit)| {
+            |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < REPORT_WINDOW;
+        let reported = self.limits.iter().filter(|(_, limit)| reports_all || is_recent(limit));
+        let updates = reported.map(|(server, limit)| {
             let age = now.saturating_duration_since(limit.updated_at);
             let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
             LimitUpdate { server, rate: limit.rate, age_ms }
         });
-        sample(news.collect(), MAX_TOLD)
+        sample(updates.collect(), MAX_REPORTED)
     }
 
     /// The last known limit of `server`; `None` if it never stated one or lifted it.
@@ -112,7 +116,7 @@
 
     /// True when the limit of `server` allows this gateway a request now.
     pub fn may_send(&self, server: ServerIncarnation, now: Instant) -> bool {
-        self.limit_in_force(server).is_none_or(|limit| limit.bucket.has_token(now))
+        self.active_limit(server).is_none_or(|limit| limit.bucket.has_token(now))
     }
 
     /// Takes a token for a request that is about to be sent to `server`; false when its
@@ -127,7 +131,7 @@
     /// When this gateway may send the next request to `server`; `None` when it has no share
     /// of the limit.
     pub fn next_send_at(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
-        self.limit_in_force(server).map_or(Some(now), |limit| limit.bucket.next_token_at(now))
+        self.active_limit(server).map_or(Some(now), |limit| limit.bucket.next_token_at(now))
     }
 
     /// Removes servers that have been unlisted for the retention period of the table.
@@ -136,7 +140,7 @@
     }
 
     /// Servers whose limit is in force.
-    pub fn in_force(&self) -> usize {
+    pub fn active_count(&self) -> usize {
         self.limits.iter().filter(|(_, limit)| limit.rate.is_some()).count()
     }
 
@@ -150,7 +154,7 @@
         self.limits.is_empty()
     }
 
-    fn limit_in_force(&self, server: ServerIncarnation) -> Option<&ServerLimit> {
+    fn active_limit(&self, server: ServerIncarnation) -> Option<&ServerLimit> {
         self.limits.get(server).filter(|limit| limit.rate.is_some())
     }
 
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -4,12 +4,12 @@
 use http::HeaderMap;
 use snafu::Snafu;
 
-use crate::model::CallHead;
-use crate::model::CallerMark;
+use crate::model::AttemptSpec;
+use crate::model::CallerIdentity;
 use crate::model::EngineReport;
-use crate::model::OnwardOrder;
 use crate::model::PrefillResult;
-use crate::model::ReplyHead;
+use crate::model::RequestHead;
+use crate::model::ResponseHead;
 use crate::model::RouteTable;
 use crate::model::RowBatch;
 use crate::model::ServerEntry;
@@ -37,19 +37,19 @@
     const ONLY_FOR: &'static str;
 
     /// Decodes a caller's request head.
-    fn call_head(headers: &HeaderMap) -> CallHead;
+    fn request_head(headers: &HeaderMap) -> RequestHead;
 
     /// The headers with which a caller's request is sent on: the caller's
     /// own, less those of one connection and those only we may set, plus
     /// what `order` says.
-    fn onward_headers(headers: &HeaderMap, order: &OnwardOrder) -> HeaderMap;
+    fn onward_headers(headers: &HeaderMap, order: &AttemptSpec) -> HeaderMap;
 
     /// Puts what servers are told of who calls into `headers`, whatever the
     /// caller sent there, and takes its key out where organisations hold keys.
-    fn mark_caller(headers: &mut HeaderMap, caller: &CallerMark);
+    fn mark_caller(headers: &mut HeaderMap, caller: &CallerIdentity);
 
     /// Decodes a backend server's answer head.
-    fn reply_head(headers: &HeaderMap) -> ReplyHead;
+    fn response_head(headers: &HeaderMap) -> ResponseHead;
 
     /// The headers of an answer as the caller gets them: less those of one
     /// connection.
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -13,12 +13,12 @@
 
 use super::QuotaCharge;
 use crate::codec::PlatformCodec;
-use crate::model::CallHead;
+use crate::model::AttemptSpec;
 use crate::model::ConfigVersion;
 use crate::model::EngineSpec;
-use crate::model::OnwardOrder;
 use crate::model::PromptShape;
 use crate::model::RequestFingerprint;
+use crate::model::RequestHead;
 use crate::model::Route;
 use crate::model::ServiceName;
 use crate::model::ServiceSpec;
@@ -31,7 +31,7 @@
     /// Marked with who calls; without its key.
     pub headers: HeaderMap,
     pub body: Bytes,
-    pub head: CallHead,
+    pub head: RequestHead,
     /// What it is charged to its organisation's quota, if there is one.
     pub charge: Option<QuotaCharge>,
     /// The same for each try of the same request.
@@ -86,7 +86,7 @@
 
     /// The request as it is sent on by `order`: method, path and body as
     /// they came.
-    pub fn onward<C: PlatformCodec>(&self, order: &OnwardOrder) -> Request<Full<Bytes>> {
+    pub fn onward<C: PlatformCodec>(&self, order: &AttemptSpec) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -16,9 +16,9 @@
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
-use crate::model::OnwardOrder;
-use crate::model::ReplyHead;
-use crate::model::SendPurpose;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
+use crate::model::ResponseHead;
 use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 use crate::upstream;
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct OpenReply {
     pub response: Response<Incoming>,
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     pub connection: KeptConnection,
     pub permit: SendPermit,
 }
@@ -96,13 +96,13 @@
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
-    order: &OnwardOrder,
+    order: &AttemptSpec,
     permit: SendPermit,
     patience: Duration,
 ) -> Result<OpenReply, SendFailure> {
     let request = call.onward::<C>(order);
     let sent_at = Instant::now();
-    if order.purpose != SendPurpose::Prefill
+    if order.purpose != AttemptPurpose::Prefill
         && let Some(charge) = &call.charge
     {
         charge.keep();
@@ -126,7 +126,7 @@
             return Err(fail(state, call, target, failure, &problem));
         }
     };
-    let head = C::reply_head(response.headers());
+    let head = C::response_head(response.headers());
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().record_malformed(&target.server, Instant::now());
@@ -146,7 +146,7 @@
     }
     // A prefill server's answer is for us, and servers sign only what is for
     // the caller.
-    let needs_signature = order.purpose != SendPurpose::Prefill;
+    let needs_signature = order.purpose != AttemptPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
         return Err(fail(state, call, target, SendFailure::Garbled, "not signed"));
     }
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -27,9 +27,9 @@
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::load_guard::LoadGuard;
-use crate::model::OnwardOrder;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
 use crate::model::RequestRate;
-use crate::model::SendPurpose;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
@@ -216,10 +216,10 @@
     };
     let _hold = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
-    let order = OnwardOrder {
+    let order = AttemptSpec {
         server: target.server.clone(),
         time_left,
-        purpose: SendPurpose::Answer,
+        purpose: AttemptPurpose::Respond,
         resume_after: call.head.resume_after,
     };
     match exchange::exchange::<C>(state, call, &target, &order, permit, time_left).await {
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -16,9 +16,9 @@
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::load_guard::LoadGuard;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
 use crate::model::CacheSource;
-use crate::model::OnwardOrder;
-use crate::model::SendPurpose;
 use crate::state::GatewayState;
 use crate::upstream::SendTarget;
 
@@ -67,10 +67,10 @@
     let time_left = call.time_left(begun);
     let tokens_ahead = tokens_at(state, &target).max(call.prompt_shape().prompt_tokens);
     let patience = patience(state, call, tokens_ahead).min(time_left);
-    let order = OnwardOrder {
+    let order = AttemptSpec {
         server: target.server.clone(),
         time_left,
-        purpose: SendPurpose::Prefill,
+        purpose: AttemptPurpose::Prefill,
         resume_after,
     };
     let reply = exchange::exchange::<C>(state, call, &target, &order, permit, patience).await?;
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -37,7 +37,7 @@
     /// The request has certainly not run, wherever it was sent.
     pub fn give_back(&self) {
         if self.stage.swap(RETURNED, Ordering::AcqRel) != RETURNED {
-            self.state.quotas.give_back(self.organisation, self.cost);
+            self.state.quotas.refund(self.organisation, self.cost);
         }
     }
 }
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -29,8 +29,8 @@
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::in_flight_count::InFlightGuard;
-use crate::model::OnwardOrder;
-use crate::model::SendPurpose;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
@@ -266,10 +266,10 @@
             .await?;
             self.attempts.begin(&hold.server);
             let source = cache.as_ref().and_then(|cache| cache.source().cloned());
-            let order = OnwardOrder {
+            let order = AttemptSpec {
                 server: hold.server.clone(),
                 time_left: self.call.time_left(Instant::now()),
-                purpose: source.map_or(SendPurpose::Answer, SendPurpose::Decode),
+                purpose: source.map_or(AttemptPurpose::Respond, AttemptPurpose::Decode),
                 resume_after,
             };
             tracing::info!(
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -21,7 +21,7 @@
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::load_guard::LoadGuard;
-use crate::model::OnwardOrder;
+use crate::model::AttemptSpec;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 use crate::upstream::KeptConnection;
@@ -61,7 +61,7 @@
     call: &Call,
     hold: LoadGuard,
     permit: SendPermit,
-    order: &OnwardOrder,
+    order: &AttemptSpec,
     patience: Duration,
 ) -> OpenEnd {
     let Some(target) = exchange::send_target(state, &hold.server) else {
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -28,8 +28,8 @@
 use crate::cluster::place_prefill;
 use crate::codec::PlatformCodec;
 use crate::load_guard::LoadGuard;
-use crate::model::OnwardOrder;
-use crate::model::SendPurpose;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 use crate::stop::CLOSE_TIME;
@@ -85,10 +85,10 @@
         attempts.begin(&hold.server);
         let source = cache.as_ref().and_then(|cache| cache.source().cloned());
         let has_source = source.is_some();
-        let order = OnwardOrder {
+        let order = AttemptSpec {
             server: hold.server.clone(),
             time_left: call.time_left(Instant::now()),
-            purpose: source.map_or(SendPurpose::Answer, SendPurpose::Decode),
+            purpose: source.map_or(AttemptPurpose::Respond, AttemptPurpose::Decode),
             resume_after: call.head.resume_after,
         };
         let patience = first_event_patience(&call, &attempts);
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -5,9 +5,9 @@
 use std::time::Instant;
 
 use crate::forward::Rejection;
+use crate::model::CallerIdentity;
 use crate::model::CallerKey;
-use crate::model::CallerMark;
-use crate::model::CallerVerdict;
+use crate::model::CallerLookup;
 use crate::model::Organisation;
 use crate::model::Route;
 use crate::model::RouteTable;
@@ -31,10 +31,10 @@
 
 impl FoundRoute {
     /// What servers are told of who calls.
-    pub fn mark(&self) -> CallerMark {
-        CallerMark {
+    pub fn mark(&self) -> CallerIdentity {
+        CallerIdentity {
             organisation: self.organisation.as_ref().map(|of| of.name.clone()),
-            hides_key: !self.table.organisations.is_empty(),
+            strips_key: !self.table.organisations.is_empty(),
         }
     }
 }
@@ -77,9 +77,9 @@
 ) -> Result<FoundRoute, Rejection> {
     let route = Arc::clone(table.route(host, path).ok_or(Rejection::NoRoute)?);
     let organisation = match table.organisations.caller(key, route.is_open) {
-        CallerVerdict::Anyone => None,
-        CallerVerdict::Known(organisation) => Some(organisation),
-        CallerVerdict::Unknown => return Err(Rejection::UnknownKey),
+        CallerLookup::Anonymous => None,
+        CallerLookup::Known(organisation) => Some(organisation),
+        CallerLookup::UnknownKey => return Err(Rejection::UnknownKey),
     };
     Ok(FoundRoute { table, route, organisation })
 }
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -28,10 +28,10 @@
 use crate::forward::QuotaCharge;
 use crate::forward::Rejection;
 use crate::forward::refuse;
-use crate::model::CallHead;
 use crate::model::CallerKey;
-use crate::model::ContentParts;
+use crate::model::FingerprintParts;
 use crate::model::Organisation;
+use crate::model::RequestHead;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
@@ -67,7 +67,7 @@
     request: Request<Incoming>,
 ) -> Result<ReadEnd, CallAborted> {
     let arrived = Instant::now();
-    let mut head = C::call_head(request.headers());
+    let mut head = C::request_head(request.headers());
     let request_id = head.request_id.clone();
     let request_id = request_id.as_deref().unwrap_or("-");
     by_deadline(arrived + START_WAIT, state.known()).await;
@@ -87,7 +87,7 @@
         Some(body) => body,
         None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
     };
-    let content = ContentParts {
+    let content = FingerprintParts {
         method: parts.method.as_str(),
         host: stated_host(&parts.headers, &parts.uri).unwrap_or_default(),
         target: parts.uri.path_and_query().map_or("/", |target| target.as_str()),
@@ -107,7 +107,7 @@
             return Ok(refused(request_id, Rejection::QuotaSpent, Some(after), table.version));
         }
     };
-    let head_patience = head.patience;
+    let head_patience = head.timeout;
     let patience = head_patience.unwrap_or(DEFAULT_PATIENCE);
     let allowed = route.timeout.map_or(patience, |timeout| timeout.min(patience));
     Ok(ReadEnd::Call(Arc::new(Call {
@@ -153,7 +153,7 @@
 fn charge(
     state: &Arc<GatewayState>,
     organisation: Option<&Organisation>,
-    head: &CallHead,
+    head: &RequestHead,
 ) -> Result<Option<QuotaCharge>, Duration> {
     let Some((organisation, quota)) =
         organisation.and_then(|organisation| Some((organisation, organisation.quota?)))
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -85,7 +85,7 @@
         return Ok(());
     }
     let holder = state.settings.instance.clone();
-    let order = StageOrder { stage, holder, fence, after_orders: report.orders };
+    let order = StageOrder { stage, holder, fence, expected_orders: report.orders };
     let (path, body) = C::order_call(&order);
     let request = engine_request::<C>(target, Method::POST, &path, body);
     snafu::ensure!(may_still(), ClaimOldSnafu);
--- a/crates/gateway/src/model/onward_order.rs
+++ b/crates/gateway/src/model/attempt_spec.rs
@@ -16,9 +16,9 @@
 
 /// What the server is to do with the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SendPurpose {
+pub enum AttemptPurpose {
     /// Answer it whole, reading its prompt first if it has one.
-    Answer,
+    Respond,
     /// Only read its prompt, and keep the KV cache for a decode server.
     Prefill,
     /// Fetch the KV cache and stream the answer.
@@ -27,12 +27,12 @@
 
 /// One send of a caller's request.
 #[derive(Debug, Clone)]
-pub struct OnwardOrder {
+pub struct AttemptSpec {
     /// The server meant; any other that has its address must refuse.
     pub server: ServerKey,
     /// What is left of the caller's patience and the route's timeout.
     pub time_left: Duration,
-    pub purpose: SendPurpose,
+    pub purpose: AttemptPurpose,
     /// The last event the caller has, when a stream goes on elsewhere.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/model/config_copy.rs
+++ b/crates/gateway/src/model/config_snapshot.rs
@@ -16,7 +16,7 @@
 
 /// A decoded configuration: keys are digests in it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct ConfigCopy {
+pub struct ConfigSnapshot {
     /// The version of the store's row that it was read from.
     pub row_version: StoreVersion,
     version: ConfigVersion,
@@ -26,10 +26,10 @@
     organisations: OrganisationRegistry,
 }
 
-impl ConfigCopy {
+impl ConfigSnapshot {
     /// A copy of `table`, read at `row_version`.
     pub fn of(row_version: StoreVersion, table: &RouteTable) -> Self {
-        ConfigCopy {
+        ConfigSnapshot {
             row_version,
             version: table.version,
             routes: table.routes().map(|route| (**route).clone()).collect(),
--- a/crates/gateway/src/model/key_digest.rs
+++ b/crates/gateway/src/model/key_digest.rs
@@ -8,21 +8,21 @@
 use sha2::Sha256;
 
 /// Bytes kept of a key's hash: enough that no two keys meet.
-const KEPT: usize = 16;
+const DIGEST_LEN: usize = 16;
 
 /// The digest of a key (SHA-256, its first half). Keys are long and random, so it
 /// tells nothing of the key, and looking one up takes the same time whether it is
 /// known.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct KeyDigest([u8; KEPT]);
+pub struct KeyDigest([u8; DIGEST_LEN]);
 
 impl KeyDigest {
     /// That of `key`.
     pub fn of(key: &[u8]) -> Self {
         let hash = Sha256::digest(key);
-        let mut kept = [0; KEPT];
-        kept.copy_from_slice(&hash[..KEPT]);
-        KeyDigest(kept)
+        let mut bytes = [0; DIGEST_LEN];
+        bytes.copy_from_slice(&hash[..DIGEST_LEN]);
+        KeyDigest(bytes)
     }
 
     /// Its bytes.
--- a/crates/gateway/src/model/organisation_registry.rs
+++ b/crates/gateway/src/model/organisation_registry.rs
@@ -12,13 +12,13 @@
 
 /// Who calls, as the configuration in force says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum CallerVerdict {
+pub enum CallerLookup {
     /// Nobody in particular: the configuration names no organisations, or the
     /// route is open to all and no known key was sent.
-    Anyone,
+    Anonymous,
     Known(Arc<Organisation>),
     /// No organisation holds the key.
-    Unknown,
+    UnknownKey,
 }
 
 /// The organisations of one configuration.
@@ -32,24 +32,24 @@
 impl OrganisationRegistry {
     /// Adds an organisation that holds `keys`.
     pub fn add(&mut self, organisation: Organisation, keys: impl IntoIterator<Item = KeyDigest>) {
-        let place = self.organisations.len();
+        let index = self.organisations.len();
         self.organisations.push(Arc::new(organisation));
-        self.keys.extend(keys.into_iter().map(|key| (key, place)));
+        self.keys.extend(keys.into_iter().map(|key| (key, index)));
     }
 
     /// Who calls with `key`; routes that are `open` need none.
-    pub fn caller(&self, key: &CallerKey, is_open: bool) -> CallerVerdict {
+    pub fn caller(&self, key: &CallerKey, is_open: bool) -> CallerLookup {
         if self.is_empty() {
-            return CallerVerdict::Anyone;
+            return CallerLookup::Anonymous;
         }
-        let place = match key {
+        let index = match key {
             CallerKey::Sent(digest) => self.keys.get(digest),
             CallerKey::None | CallerKey::Malformed => None,
         };
-        match place {
-            Some(place) => CallerVerdict::Known(Arc::clone(&self.organisations[*place])),
-            None if is_open => CallerVerdict::Anyone,
-            None => CallerVerdict::Unknown,
+        match index {
+            Some(index) => CallerLookup::Known(Arc::clone(&self.organisations[*index])),
+            None if is_open => CallerLookup::Anonymous,
+            None => CallerLookup::UnknownKey,
         }
     }
 
--- a/crates/gateway/src/model/quota_limit.rs
+++ b/crates/gateway/src/model/quota_limit.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::CallHead;
+use super::RequestHead;
 
 /// What a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
 
 impl QuotaLimit {
     /// The units that a request with `head` counts for.
-    pub fn cost(&self, head: &CallHead) -> u64 {
+    pub fn cost(&self, head: &RequestHead) -> u64 {
         match (self.unit, &head.prompt) {
             (QuotaUnit::Requests, _) => 1,
             (QuotaUnit::Tokens { plain }, None) => plain,
--- a/crates/gateway/src/model/request_fingerprint.rs
+++ b/crates/gateway/src/model/request_fingerprint.rs
@@ -5,7 +5,7 @@
 /// The parts of a request that come again when its caller repeats it. Its id,
 /// its deadline and where it resumes are each try's own.
 #[derive(Debug, Clone, Copy)]
-pub struct ContentParts<'a> {
+pub struct FingerprintParts<'a> {
     pub method: &'a str,
     pub host: &'a str,
     /// Path and query.
@@ -15,7 +15,7 @@
     pub body: &'a [u8],
 }
 
-impl ContentParts<'_> {
+impl FingerprintParts<'_> {
     /// The same for requests that are the same. Each part's digest seeds the
     /// next, so that no part's end can pass for the beginning of another.
     pub fn digest(&self) -> RequestFingerprint {
--- a/crates/gateway/src/model/call_head.rs
+++ b/crates/gateway/src/model/request_head.rs
@@ -25,11 +25,11 @@
 
 /// A caller's request head, decoded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct CallHead {
+pub struct RequestHead {
     /// The caller's id of this attempt; each attempt has its own.
     pub request_id: Option<String>,
     /// How long the caller will wait, from the moment it sent the request.
-    pub patience: Option<Duration>,
+    pub timeout: Option<Duration>,
     /// Who calls.
     pub key: CallerKey,
     /// Present on requests to model engines.
--- a/crates/gateway/src/model/reply_head.rs
+++ b/crates/gateway/src/model/response_head.rs
@@ -14,7 +14,7 @@
 
 /// A backend server's answer head, decoded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct ReplyHead {
+pub struct ResponseHead {
     /// The id of the request this answers, as echoed by the server.
     pub request_id: Option<String>,
     /// True when the server vouches for the answer as its own.
--- a/crates/gateway/src/model/stage_order.rs
+++ b/crates/gateway/src/model/stage_order.rs
@@ -16,7 +16,7 @@
     pub fence: StoreVersion,
     /// Orders that the engine must have accepted so far; it refuses if there
     /// were others, so that an order which comes late changes nothing.
-    pub after_orders: u64,
+    pub expected_orders: u64,
 }
 
 /// What an engine says of orders.
--- a/crates/gateway/src/peers/config_copies.rs
+++ b/crates/gateway/src/peers/config_copies.rs
@@ -17,7 +17,7 @@
 use umberglade_wire::pool;
 
 use crate::events;
-use crate::model::ConfigCopy;
+use crate::model::ConfigSnapshot;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
@@ -47,7 +47,7 @@
 
 async fn hand_over(state: Arc<GatewayState>, mut stream: TcpStream) {
     let copy = state.with_in_force(|in_force| {
-        in_force.current().map(|(row_version, table)| ConfigCopy::of(*row_version, table))
+        in_force.current().map(|(row_version, table)| ConfigSnapshot::of(*row_version, table))
     });
     let Some(copy) = copy else { return };
     let bytes = postcard::to_allocvec(&copy).expect("encoding plain fields");
@@ -97,7 +97,7 @@
     let bytes = by_deadline(Instant::now() + COPY_TIME, read)
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
-    let copy: ConfigCopy = postcard::from_bytes(&bytes)
+    let copy: ConfigSnapshot = postcard::from_bytes(&bytes)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
     let row_version = copy.row_version;
     Ok(state.put_in_force(row_version, copy.into_table(), "gateway"))
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -94,9 +94,9 @@
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
     // statement ends, so a second call in the same statement would deadlock.
     let loads = state.fleet().local_loads_for_peers();
-    let limits = state.fleet().limits.news(true, now);
+    let limits = state.fleet().limits.updates(true, now);
     let departures = state.fleet().departures.updates(true, now);
-    let charges = state.quotas.recent_news();
+    let charges = state.quotas.recent_updates();
     let outcomes = state.quarantines.updates(true);
     LoadReport {
         reach: PeerReach::Far,
@@ -131,7 +131,7 @@
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
     let store_calm = state.fleet().store_stable_duration(now);
-    let limits = state.fleet().limits.news(tells_learned, now);
+    let limits = state.fleet().limits.updates(tells_learned, now);
     let departures = state.fleet().departures.updates(tells_learned, now);
     let backoffs = state.fleet().backoff_updates(tells_learned, newcomers, now);
     LoadReport {
@@ -148,7 +148,7 @@
         learned: tells_learned.then(|| state.own_learning()),
         config: state.config_version(),
         tables: state.readings.notices(now),
-        charges: state.quotas.news(tells_learned),
+        charges: state.quotas.updates(tells_learned),
         age_ms: state.age().as_millis() as u64,
         outcomes: state.quarantines.updates(tells_learned),
         limits,
@@ -231,7 +231,7 @@
         let digest = server_digest(&report.peer);
         let view = state.quota_view();
         let age = Duration::from_millis(report.age_ms);
-        state.quotas.hear(digest, report.incarnation, age, &report.charges, &view);
+        state.quotas.apply_peer_charges(digest, report.incarnation, age, &report.charges, &view);
     }
     state.fleet().peers.note(&report.peer, report.incarnation, report.sequence, news, now);
     if let Some(learned) = report.learned {
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -10,9 +10,9 @@
 
 /// A gateway not heard for longer does not count when a quota is given out: four
 /// reports at the slowest pace, so that lost ones change little.
-const QUOTA_PEER_LIFE: Duration = Duration::from_secs(1);
+const QUOTA_PEER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Between two counts of them, each of which looks at all reports.
-const COUNT_PAUSE: Duration = Duration::from_millis(50);
+const COUNT_INTERVAL: Duration = Duration::from_millis(50);
 /// From a report's sending until it is taken in.
 const REPORT_DELAY: Duration = Duration::from_millis(10);
 
@@ -20,9 +20,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaPeers {
     counted_at: Instant,
-    heard: usize,
+    live_peers: usize,
     /// True when some are of another shard, and told rarely.
-    hears_far: bool,
+    has_remote: bool,
 }
 
 impl GatewayState {
@@ -34,15 +34,15 @@
     /// What this gateway sees of the others when it gives out a quota.
     pub fn quota_view(&self) -> QuotaView {
         let now = Instant::now();
-        let QuotaPeers { heard, hears_far, .. } = self.quota_peers(now);
-        let unheard_for = self.fleet().peers.unheard_for(now);
-        let pace = if hears_far { FAR_PACE } else { report_interval(heard) };
-        let report_age = pace + REPORT_DELAY;
+        let QuotaPeers { live_peers, has_remote, .. } = self.quota_peers(now);
+        let since_last_report = self.fleet().peers.unheard_for(now);
+        let interval = if has_remote { FAR_PACE } else { report_interval(live_peers) };
+        let report_age = interval + REPORT_DELAY;
         QuotaView {
-            heard,
+            live_peers,
             members: self.members(),
             report_age,
-            unheard_for: unheard_for.unwrap_or(Duration::MAX).max(report_age),
+            since_last_report: since_last_report.unwrap_or(Duration::MAX).max(report_age),
             window: self.settings.quota_window,
             overage: self.settings.quota_overage,
             slack: self.settings.quota_slack,
@@ -53,14 +53,14 @@
     fn quota_peers(&self, now: Instant) -> QuotaPeers {
         let known = *self.quota_peers.lock().expect("quota peers lock");
         let is_recent =
-            |of: &QuotaPeers| now.saturating_duration_since(of.counted_at) < COUNT_PAUSE;
+            |peers: &QuotaPeers| now.saturating_duration_since(peers.counted_at) < COUNT_INTERVAL;
         if let Some(peers) = known.filter(is_recent) {
             return peers;
         }
         let peers = {
             let fleet = self.fleet();
-            let heard = fleet.peers.heard_within(QUOTA_PEER_LIFE, now);
-            QuotaPeers { counted_at: now, heard, hears_far: fleet.peers.hears_far(now) }
+            let live_peers = fleet.peers.heard_within(QUOTA_PEER_TIMEOUT, now);
+            QuotaPeers { counted_at: now, live_peers, has_remote: fleet.peers.hears_far(now) }
         };
         *self.quota_peers.lock().expect("quota peers lock") = Some(peers);
         peers
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -20,7 +20,7 @@
 /// Organisations with metrics of their own; the others share one label.
 const MAX_LABELS: usize = 32;
 /// The label of the others.
-const OTHER: &str = "other";
+const OTHER_LABEL: &str = "other";
 
 /// The quotas, with log lines and metrics of what is decided.
 #[derive(Debug)]
@@ -32,8 +32,8 @@
 
 impl Quotas {
     /// Those of a process that has begun at `begun`.
-    pub fn new(begun: Instant) -> Self {
-        Quotas { pool: Mutex::new(QuotaPool::new(begun)), labels: Mutex::default() }
+    pub fn new(started_at: Instant) -> Self {
+        Quotas { pool: Mutex::new(QuotaPool::new(started_at)), labels: Mutex::default() }
     }
 
     /// A configuration with `organisations` is in force.
@@ -84,7 +84,7 @@
         let left = pool.left(digest, view).map_or(0.0, |(_, left)| left);
         drop(pool);
         let label = self.label(digest);
-        let Err(after) = charged else {
+        let Err(retry_after) = charged else {
             metrics::counter!("umberglade_quota_units_total", "organisation" => label)
                 .increment(cost);
             return Ok(());
@@ -96,23 +96,23 @@
             organisation = %organisation.name,
             cost,
             left,
-            part = view.part(),
-            gateways_heard = view.heard,
+            part = view.fraction(),
+            gateways_heard = view.live_peers,
             gateways = view.members,
-            unheard_ms = view.unheard_for.as_millis() as u64,
-            retry_after_ms = after.as_millis() as u64,
+            unheard_ms = view.since_last_report.as_millis() as u64,
+            retry_after_ms = retry_after.as_millis() as u64,
             "quota spent"
         );
-        Err(after)
+        Err(retry_after)
     }
 
     /// Gives back what was charged for a request that has not run.
-    pub fn give_back(&self, organisation: OrganisationDigest, cost: u64) {
-        self.pool().give_back(organisation, cost, Instant::now());
+    pub fn refund(&self, organisation: OrganisationDigest, cost: u64) {
+        self.pool().refund(organisation, cost, Instant::now());
     }
 
     /// Takes in what another gateway, which has run for `age`, has charged.
-    pub fn hear(
+    pub fn apply_peer_charges(
         &self,
         peer: u64,
         incarnation: u64,
@@ -120,17 +120,17 @@
         charges: &[(OrganisationDigest, ChargeUpdate)],
         view: &QuotaView,
     ) {
-        self.pool().hear(peer, incarnation, age, charges, view, Instant::now());
+        self.pool().apply_peer_charges(peer, incarnation, age, charges, view, Instant::now());
     }
 
     /// What a report tells the other gateways.
-    pub fn news(&self, tells_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
-        self.pool().news(tells_all)
+    pub fn updates(&self, reports_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
+        self.pool().updates(reports_all)
     }
 
     /// What a report tells gateways that are told rarely.
-    pub fn recent_news(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
-        self.pool().recent_news()
+    pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
+        self.pool().recent_updates()
     }
 
     /// Drops what is past, and shows in metrics what is used.
@@ -139,7 +139,7 @@
         let labels = self.labels.lock().expect("labels lock").clone();
         for (digest, label) in labels {
             if let Some((limit, left)) = self.pool().left(digest, view) {
-                let used = 1.0 - left / view.allowance(&limit);
+                let used = 1.0 - left / view.window_limit(&limit);
                 metrics::gauge!("umberglade_quota_used_share", "organisation" => label).set(used);
             }
         }
@@ -147,7 +147,7 @@
 
     fn label(&self, organisation: OrganisationDigest) -> String {
         let labels = self.labels.lock().expect("labels lock");
-        labels.get(&organisation).cloned().unwrap_or_else(|| OTHER.to_owned())
+        labels.get(&organisation).cloned().unwrap_or_else(|| OTHER_LABEL.to_owned())
     }
 
     fn pool(&self) -> MutexGuard<'_, QuotaPool> {
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -275,7 +275,8 @@
         state.quarantines.tick(rank.before == 0);
         state.quotas.tick(&state.quota_view());
         heard = log_peers(&state, heard, now);
-        metrics::gauge!("umberglade_limited_servers").set(state.fleet().limits.in_force() as f64);
+        metrics::gauge!("umberglade_limited_servers")
+            .set(state.fleet().limits.active_count() as f64);
         metrics::gauge!("umberglade_in_flight").set(f64::from(state.flights.requests()));
         metrics::gauge!("umberglade_kept_connections").set(state.pool.len() as f64);
     }
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -22,16 +22,16 @@
 /// Interval over which arrivals at a server are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after a limit is first stated within which every gateway must apply it.
-const PROPAGATION_TIME: Duration = Duration::from_secs(3);
+const PROPAGATION_DELAY: Duration = Duration::from_secs(3);
 /// Simulated time per step.
 const STEP: Duration = Duration::from_millis(50);
 /// Interval between reports of a gateway.
-const REPORT_EVERY: Duration = Duration::from_secs(1);
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a call takes.
-const CALL_TIME: Duration = Duration::from_millis(50);
-const RUN_TIME: Duration = Duration::from_secs(24);
+const CALL_DURATION: Duration = Duration::from_millis(50);
+const RUN_DURATION: Duration = Duration::from_secs(24);
 /// Minimum fraction of the limits that must be used when demand exceeds them.
-const MIN_USED: f64 = 0.8;
+const MIN_USED_FRACTION: f64 = 0.8;
 const SERVERS: usize = 4;
 
 fn rate(per_second: f64) -> RequestRate {
@@ -70,7 +70,7 @@
     /// Steps whose requests are sent together as one burst; 1 for no bursts.
     burst_steps: u32,
     /// Fraction of the gateways that restart after 10 s.
-    restarted_share: f64,
+    restarted_fraction: f64,
 }
 
 const BASE_CASE: DivisionCase = DivisionCase {
@@ -81,7 +81,7 @@
     loss: 0.0,
     request_rate: 60.0,
     burst_steps: 1,
-    restarted_share: 0.0,
+    restarted_fraction: 0.0,
 };
 
 struct Simulation {
@@ -126,15 +126,15 @@
     fn report(&mut self) {
         self.sequence += 1;
         for from in 0..self.fleets.len() {
-            let limits = self.fleets[from].limits.news(true, self.now);
+            let limits = self.fleets[from].limits.updates(true, self.now);
             for to in (0..self.fleets.len()).filter(|to| *to != from) {
                 if self.random.f64() < self.case.loss {
                     continue;
                 }
-                let (peer, news) = (format!("gw-{from}"), PeerUpdate::default());
-                self.fleets[to].peers.note(&peer, 1, self.sequence, news, self.now);
-                for news in &limits {
-                    self.fleets[to].apply_peer_limit(*news, self.now);
+                let (peer, update) = (format!("gw-{from}"), PeerUpdate::default());
+                self.fleets[to].peers.note(&peer, 1, self.sequence, update, self.now);
+                for update in &limits {
+                    self.fleets[to].apply_peer_limit(*update, self.now);
                 }
             }
         }
@@ -146,7 +146,7 @@
     /// Places one request at a gateway and sends it.
     fn call(&mut self, gateway: usize) {
         let domain: DomainKey = "z".into();
-        let need = PlacementRequest {
+        let request = PlacementRequest {
             service: "svc",
             gateway: gateway as u64,
             domain: &domain,
@@ -154,17 +154,17 @@
             now: self.now,
         };
         let fleet = &mut self.fleets[gateway];
-        let Ok(place) = place_plain(fleet, &need) else { return };
-        let incarnation = fleet.server(&place.server).expect("a known server").incarnation;
+        let Ok(placement) = place_plain(fleet, &request) else { return };
+        let incarnation = fleet.server(&placement.server).expect("a known server").incarnation;
         assert!(fleet.take_send_token(incarnation, self.now), "placed on a server without a token");
-        fleet.add_load(&place.server, LoadShare::of_call(), self.now);
-        let server: usize = place.server[2..].parse().expect("a number");
+        fleet.add_load(&placement.server, LoadShare::of_call(), self.now);
+        let server: usize = placement.server[2..].parse().expect("a number");
         self.arrivals[server].push(self.now);
-        self.calls.push((self.now + CALL_TIME, gateway, server));
+        self.calls.push((self.now + CALL_DURATION, gateway, server));
     }
 
     /// Ends the calls that are due; their answers state the limits.
-    fn answer(&mut self) {
+    fn complete_calls(&mut self) {
         let now = self.now;
         let (due, open) =
             std::mem::take(&mut self.calls).into_iter().partition(|call| call.0 <= now);
@@ -184,25 +184,25 @@
             } else {
                 StatedLimit::None
             };
-            fleet.record_limit(incarnation, stated, now - CALL_TIME, now);
+            fleet.record_limit(incarnation, stated, now - CALL_DURATION, now);
         }
     }
 
     fn run(&mut self) {
-        let begun = self.now;
-        let mut report_at = begun + REPORT_EVERY;
-        let restart_at = begun + Duration::from_secs(10);
+        let started_at = self.now;
+        let mut report_at = started_at + REPORT_INTERVAL;
+        let restart_at = started_at + Duration::from_secs(10);
         let mut has_restarted = false;
         let (mut step, mut backlog) = (0, 0.0);
-        while self.now < begun + RUN_TIME {
-            self.answer();
+        while self.now < started_at + RUN_DURATION {
+            self.complete_calls();
             if self.now >= report_at {
                 self.report();
-                report_at += REPORT_EVERY;
+                report_at += REPORT_INTERVAL;
             }
             if self.now >= restart_at && !has_restarted {
                 has_restarted = true;
-                let restarted = (self.case.gateways as f64 * self.case.restarted_share) as usize;
+                let restarted = (self.case.gateways as f64 * self.case.restarted_fraction) as usize;
                 for gateway in 0..restarted {
                     self.fleets[gateway] = self.fleet(gateway);
                     self.calls.retain(|call| call.1 != gateway);
@@ -224,11 +224,11 @@
 
     /// The most arrivals at `server` in any [`WINDOW`] that begins at `from` or later.
     fn busiest_window(&self, server: usize, from: Instant) -> usize {
-        let late: Vec<Instant> =
+        let after: Vec<Instant> =
             self.arrivals[server].iter().copied().filter(|at| *at >= from).collect();
         let within =
-            |begun: Instant| late.iter().filter(|at| (begun..begun + WINDOW).contains(at)).count();
-        late.iter().map(|begun| within(*begun)).max().unwrap_or(0)
+            |start: Instant| after.iter().filter(|at| (start..start + WINDOW).contains(at)).count();
+        after.iter().map(|start| within(*start)).max().unwrap_or(0)
     }
 }
 
@@ -244,7 +244,7 @@
         DivisionCase { name: "six, bursts", burst_steps: 60, ..BASE_CASE },
         DivisionCase { name: "six, all limited", limited: 4, ..BASE_CASE },
         DivisionCase { name: "six, three in ten reports lost", loss: 0.3, ..BASE_CASE },
-        DivisionCase { name: "six, all restart", restarted_share: 1.0, ..BASE_CASE },
+        DivisionCase { name: "six, all restart", restarted_fraction: 1.0, ..BASE_CASE },
         DivisionCase { name: "63", gateways: 63, request_rate: 250.0, ..BASE_CASE },
         DivisionCase {
             name: "63, bursts",
@@ -271,7 +271,7 @@
             name: "63, half restart",
             gateways: 63,
             request_rate: 250.0,
-            restarted_share: 0.5,
+            restarted_fraction: 0.5,
             ..BASE_CASE
         },
         DivisionCase {
@@ -284,19 +284,26 @@
     ];
     for case in cases {
         let mut simulation = Simulation::new(case);
-        let begun = simulation.now;
+        let started_at = simulation.now;
         simulation.run();
         for server in 0..case.limited {
-            let most = simulation.busiest_window(server, begun + PROPAGATION_TIME);
+            let max_arrivals = simulation.busiest_window(server, started_at + PROPAGATION_DELAY);
             let allowed = allowed(case.limit);
-            assert!(most <= allowed, "{}: {most} in {WINDOW:?}, {allowed} allowed", case.name);
+            assert!(
+                max_arrivals <= allowed,
+                "{}: {max_arrivals} in {WINDOW:?}, {allowed} allowed",
+                case.name
+            );
         }
         if case.limited == SERVERS {
-            let late =
-                simulation.arrivals.iter().flatten().filter(|at| **at >= begun + PROPAGATION_TIME);
-            let time = (RUN_TIME - PROPAGATION_TIME).as_secs_f64();
-            let used = late.count() as f64 / (time * case.limit * SERVERS as f64);
-            assert!(used >= MIN_USED, "{}: {used:.2} of the limits used", case.name);
+            let after_propagation = simulation
+                .arrivals
+                .iter()
+                .flatten()
+                .filter(|at| **at >= started_at + PROPAGATION_DELAY);
+            let time = (RUN_DURATION - PROPAGATION_DELAY).as_secs_f64();
+            let used = after_propagation.count() as f64 / (time * case.limit * SERVERS as f64);
+            assert!(used >= MIN_USED_FRACTION, "{}: {used:.2} of the limits used", case.name);
         }
     }
 }
--- a/crates/gateway/tests/request_fingerprint.rs
+++ b/crates/gateway/tests/request_fingerprint.rs
@@ -1,8 +1,8 @@
 //! Equal requests have equal fingerprints, and different requests have different ones.
 
-use umberglade_gateway::model::ContentParts;
+use umberglade_gateway::model::FingerprintParts;
 
-const BASE_PARTS: ContentParts<'static> = ContentParts {
+const BASE_PARTS: FingerprintParts<'static> = FingerprintParts {
     method: "POST",
     host: "site.example",
     target: "/files/7?page=1",
@@ -12,7 +12,7 @@
 
 struct FingerprintCase {
     name: &'static str,
-    parts: ContentParts<'static>,
+    parts: FingerprintParts<'static>,
     is_same: bool,
 }
 
@@ -24,32 +24,32 @@
         FingerprintCase { name: "repeated", parts: BASE_PARTS, is_same: true },
         FingerprintCase {
             name: "method",
-            parts: ContentParts { method: "GET", ..BASE_PARTS },
+            parts: FingerprintParts { method: "GET", ..BASE_PARTS },
             is_same: false,
         },
         FingerprintCase {
             name: "host",
-            parts: ContentParts { host: "other.example", ..BASE_PARTS },
+            parts: FingerprintParts { host: "other.example", ..BASE_PARTS },
             is_same: false,
         },
         FingerprintCase {
             name: "query",
-            parts: ContentParts { target: "/files/7?page=2", ..BASE_PARTS },
+            parts: FingerprintParts { target: "/files/7?page=2", ..BASE_PARTS },
             is_same: false,
         },
         FingerprintCase {
             name: "credentials",
-            parts: ContentParts { credentials: b"Bearer b", ..BASE_PARTS },
+            parts: FingerprintParts { credentials: b"Bearer b", ..BASE_PARTS },
             is_same: false,
         },
         FingerprintCase {
             name: "body",
-            parts: ContentParts { body: b"hellO", ..BASE_PARTS },
+            parts: FingerprintParts { body: b"hellO", ..BASE_PARTS },
             is_same: false,
         },
         FingerprintCase {
             name: "end of one part moved into the next",
-            parts: ContentParts { credentials: b"Bearer ", body: b"ahello", ..BASE_PARTS },
+            parts: FingerprintParts { credentials: b"Bearer ", body: b"ahello", ..BASE_PARTS },
             is_same: false,
         },
     ];
--- a/crates/gateway/tests/server_limits.rs
+++ b/crates/gateway/tests/server_limits.rs
@@ -15,7 +15,7 @@
 }
 
 /// An answer with the limit it states; times are offsets from the start of the test.
-struct Answer {
+struct Response {
     sent_ms: u64,
     received_ms: u64,
     stated: StatedLimit,
@@ -26,33 +26,37 @@
 fn answers_update_the_limit() {
     struct Case {
         name: &'static str,
-        answers: Vec<Answer>,
+        responses: Vec<Response>,
         limit: Option<f64>,
     }
     let four = StatedLimit::Rate(rate(4.0));
     let six = StatedLimit::Rate(rate(6.0));
-    let answer = |sent_ms, received_ms, stated| Answer { sent_ms, received_ms, stated };
+    let response = |sent_ms, received_ms, stated| Response { sent_ms, received_ms, stated };
     let cases = [
-        Case { name: "never stated", answers: vec![answer(0, 10, StatedLimit::None)], limit: None },
-        Case { name: "stated", answers: vec![answer(0, 10, four)], limit: Some(4.0) },
+        Case {
+            name: "never stated",
+            responses: vec![response(0, 10, StatedLimit::None)],
+            limit: None,
+        },
+        Case { name: "stated", responses: vec![response(0, 10, four)], limit: Some(4.0) },
         Case {
             name: "changed",
-            answers: vec![answer(0, 10, four), answer(1, 12, six)],
+            responses: vec![response(0, 10, four), response(1, 12, six)],
             limit: Some(6.0),
         },
         Case {
             name: "lifted",
-            answers: vec![answer(0, 10, four), answer(20, 30, StatedLimit::None)],
+            responses: vec![response(0, 10, four), response(20, 30, StatedLimit::None)],
             limit: None,
         },
         Case {
             name: "late answer to an earlier request",
-            answers: vec![answer(0, 10, four), answer(5, 30, StatedLimit::None)],
+            responses: vec![response(0, 10, four), response(5, 30, StatedLimit::None)],
             limit: Some(4.0),
         },
         Case {
             name: "unreadable limit is ignored",
-            answers: vec![answer(0, 10, four), answer(20, 30, StatedLimit::Unreadable)],
+            responses: vec![response(0, 10, four), response(20, 30, StatedLimit::Unreadable)],
             limit: Some(4.0),
         },
     ];
@@ -60,8 +64,13 @@
     let at = |ms| start + Duration::from_millis(ms);
     for case in cases {
         let mut limits = ServerLimits::default();
-        for answer in &case.answers {
-            limits.note_answer(SERVER, answer.stated, at(answer.sent_ms), at(answer.received_ms));
+        for response in &case.responses {
+            limits.record_response(
+                SERVER,
+                response.stated,
+                at(response.sent_ms),
+                at(response.received_ms),
+            );
         }
         let limit = limits.limit(SERVER).map(RequestRate::per_second);
         assert_eq!(limit, case.limit, "{}", case.name);
@@ -74,7 +83,7 @@
 fn limits_of_unlisted_servers_expire() {
     let start = Instant::now();
     let mut limits = ServerLimits::default();
-    limits.note_answer(SERVER, StatedLimit::Rate(rate(4.0)), start, start);
+    limits.record_response(SERVER, StatedLimit::Rate(rate(4.0)), start, start);
     let after = |seconds| start + Duration::from_secs(seconds);
     limits.tick(|_| true, after(300));
     limits.tick(|_| false, after(310));
@@ -112,8 +121,8 @@
     for case in cases {
         let mut limits = ServerLimits::default();
         for (age_ms, limit) in case.reports {
-            let news = LimitUpdate { server: SERVER, rate: limit.map(rate), age_ms };
-            limits.hear(news, now);
+            let update = LimitUpdate { server: SERVER, rate: limit.map(rate), age_ms };
+            limits.apply_peer_limit(update, now);
         }
         assert_eq!(limits.limit(SERVER).map(RequestRate::per_second), case.limit, "{}", case.name);
         assert!(!limits.may_send(SERVER, now) || case.limit.is_none(), "{}", case.name);
@@ -133,15 +142,15 @@
     let mut receiver = ServerLimits::default();
     for server in 0..SERVERS {
         let stated = StatedLimit::Rate(rate(4.6));
-        sender.note_answer(u64::MAX - server, stated, now, now);
+        sender.record_response(u64::MAX - server, stated, now, now);
     }
     for _ in 0..REPORTS {
-        let news = sender.news(true, later);
-        let bytes = postcard::to_allocvec(&news).expect("plain fields").len();
+        let update = sender.updates(true, later);
+        let bytes = postcard::to_allocvec(&update).expect("plain fields").len();
         assert!(bytes <= MAX_BYTES, "{bytes} bytes of limits");
-        for limit in news {
-            receiver.hear(limit, later);
+        for limit in update {
+            receiver.apply_peer_limit(limit, later);
         }
     }
-    assert_eq!(receiver.in_force(), SERVERS as usize);
+    assert_eq!(receiver.active_count(), SERVERS as usize);
 }
