--- a/crates/gateway/src/cluster/limit_update.rs
+++ b/crates/gateway/src/cluster/limit_update.rs
@@ -1,4 +1,4 @@
-//! Rate limits of servers, as gateways report them to each other.
+//! Rate limits of servers as gateways report them to each other.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -12,6 +12,6 @@
     pub server: ServerIncarnation,
     /// `None` after the limit was lifted.
     pub rate: Option<RequestRate>,
-    /// Milliseconds since the answer that last set `rate`.
+    /// Milliseconds since the response that last set `rate`.
     pub age_ms: u32,
 }
--- a/crates/gateway/src/cluster/quota_account.rs
+++ b/crates/gateway/src/cluster/quota_account.rs
@@ -1,4 +1,4 @@
-//! One organisation's quota over a sliding window, as one gateway sees it.
+//! One gateway's local view of an organisation's quota over a sliding window.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,65 +9,66 @@
 use super::quota_view::QuotaView;
 use crate::model::QuotaLimit;
 
-/// Charges are remembered by slots of this length.
+/// Length of the time slots in which charges are recorded.
 const SLOT: Duration = Duration::from_millis(100);
-/// Over this the pace at which callers ask is learned.
+/// Time constant of the exponential decay by which the rate of demand is estimated.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(300);
-/// What callers may ask for until reports tell of it counts this many times: what
-/// they ask may be rising, and reports may be lost.
+/// Factor by which the unreported demand is multiplied, since demand may be rising and reports may
+/// be lost.
 const DEMAND_MARGIN: f64 = 1.3;
-/// Requests that a gateway may let run until it hears of the others again, however
-/// small its part of the demand: organisations far below their limit have a few
-/// requests at each gateway.
+/// Requests that a gateway may grant until it receives reports of its peers again, however small
+/// its share of the demand. Organisations far below their limit have a few requests at each
+/// gateway.
 const MIN_GRANTED_REQUESTS: f64 = 4.0;
-/// The same once no other gateway was heard for longer than reports take.
+/// [`MIN_GRANTED_REQUESTS`] of a gateway that has received no report for longer than reports take.
 const MIN_GRANTED_WHEN_ISOLATED: f64 = 1.0;
-/// The longest that a refused caller is told to wait.
+/// Maximum retry delay that a rejected caller is given.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
-/// The shortest: what is free sooner is taken by those who come meanwhile.
+/// Minimum retry delay that a rejected caller is given. Units that expire sooner are taken by
+/// callers that arrive in the meantime.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 
-/// What was charged in one slot of time.
+/// Units charged in one time slot.
 #[derive(Debug, Clone, Copy)]
 struct ChargeSlot {
     started_at: Instant,
-    /// By all gateways. Below zero where more was given back than charged.
+    /// Charged by all gateways. Negative when more was refunded than charged.
     units: f64,
-    /// By this one.
+    /// Charged by this gateway.
     local: f64,
-    /// Counted as used before this gateway's start, though nobody told of it.
+    /// Units counted as used before this gateway's start, though no peer reported them.
     assumed: f64,
 }
 
-/// What all gateways charged within the window, as far as is known here.
+/// What all gateways charged to one quota within the window, as far as this gateway knows.
 #[derive(Debug)]
 pub struct QuotaAccount {
     limit: QuotaLimit,
-    /// Oldest first. Invariant: none older than the window and a slot.
+    /// Oldest first. Invariant: none is older than the window plus one slot.
     slots: VecDeque<ChargeSlot>,
-    /// Invariant: the sums over `slots`.
+    /// Invariant: `sum` and `local_sum` are the sums over `slots`.
     sum: f64,
     local_sum: f64,
     /// What this gateway has charged since its start.
     local_total: ChargeTotal,
-    /// True while that has changed and was not told.
+    /// True while `local_total` or `local_demand` has a change that was not reported.
     is_unreported: bool,
-    /// What callers of all gateways asked for, granted or not, fading over
-    /// [`PACE_TIME`].
+    /// Units that callers of all gateways requested, granted or not. Decays exponentially with
+    /// [`DEMAND_TIME_CONSTANT`].
     demand: f64,
     decayed_at: Instant,
-    /// What callers of this gateway have asked for since its start.
+    /// Units that callers of this gateway have requested since its start.
     local_demand: u64,
-    /// What counts as used though nobody told of it, by a gateway that knows nothing
-    /// of the time before its start.
+    /// Units counted as used though no peer reported them, since this gateway does not know what
+    /// was charged before its start.
     assumed: f64,
-    /// What refused callers were told to come back for, fading as the window goes on.
+    /// Units that rejected callers were told to retry for. Decreases as slots leave the window.
     deferred: f64,
 }
 
 impl QuotaAccount {
-    /// One at a gateway that knows nothing of the window before `now`: it counts as
-    /// used evenly, but for what may be given out at a start.
+    /// Creates the account of a gateway that does not know what was charged before `now`. The
+    /// window counts as evenly used, except for the units that may be granted at a start.
     pub fn new(limit: QuotaLimit, view: &QuotaView, now: Instant) -> Self {
         let mut account = QuotaAccount {
             limit,
@@ -94,19 +95,19 @@
         account
     }
 
-    /// Takes in a changed limit; false when it is the same.
+    /// Sets the limit. Returns false when it is unchanged.
     pub fn set_limit(&mut self, limit: QuotaLimit) -> bool {
         let is_changed = limit != self.limit;
         self.limit = limit;
         is_changed
     }
 
-    /// Charges `cost`, or says after how long it may be tried again. A request
-    /// larger than the whole allowance needs an empty window. `draw`, from 0 to 1,
-    /// decides where callers ask for more than is left.
+    /// Charges `cost`, or returns after how long the caller may retry. A request larger than the
+    /// whole window limit needs an empty window. `draw`, a random number from 0 to 1, decides when
+    /// callers request more than is left.
     ///
-    /// Guards against gateways that all give out the same units before they hear of
-    /// each other: each lets through the part of what is asked that is left.
+    /// Prevents gateways from all granting the same units before they receive each other's
+    /// reports: each grants the fraction of the demand that is left.
     pub fn charge(
         &mut self,
         cost: f64,
@@ -137,40 +138,40 @@
         Err(retry_after.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER))
     }
 
-    /// Gives back what was charged for a request that has not run.
+    /// Refunds the charge of a request that has not run.
     pub fn refund(&mut self, cost: f64, now: Instant) {
         self.add(-cost, -cost, now);
         self.local_total -= cost as ChargeTotal;
         self.is_unreported = true;
     }
 
-    /// Takes in what callers of another gateway have asked for.
+    /// Applies units that callers of a peer have requested.
     pub fn apply_demand(&mut self, units: f64, now: Instant) {
         self.decay_demand(now);
         self.demand += units;
     }
 
-    /// Takes in what another gateway has charged.
+    /// Applies units that a peer has charged.
     pub fn apply_charge(&mut self, units: f64, now: Instant) {
         self.add(units, 0.0, now);
     }
 
-    /// The same for one that was not heard for long: what it charged meanwhile counts
-    /// up to what the bound allows in excess.
+    /// Applies units that a peer has charged during a long time without reports. They count only
+    /// up to the maximum overage that the bound allows.
     pub fn apply_late_charge(&mut self, units: f64, view: &QuotaView, now: Instant) {
         let capacity = view.window_limit(&self.limit) + view.max_overage(&self.limit) - self.sum;
         self.apply_charge(units.min(capacity.max(0.0)), now);
     }
 
-    /// Takes in what a gateway that was there before this one charged in the window,
-    /// when it is first heard: what this one assumed to be used covers it.
+    /// Applies the units that a peer which started before this gateway charged in the window, when
+    /// its first report arrives. The units that this gateway assumed to be used cover them.
     pub fn apply_prior_charge(&mut self, units: f64, now: Instant) {
         let covered = units.clamp(0.0, self.assumed);
         self.assumed -= covered;
         self.apply_charge(units - covered, now);
     }
 
-    /// Drops what has left the window.
+    /// Removes the slots that have left the window.
     pub fn expire(&mut self, view: &QuotaView, now: Instant) {
         self.decay_demand(now);
         while let Some(slot) = self.slots.front()
@@ -187,13 +188,14 @@
         }
     }
 
-    /// What this gateway has charged, where it is to be told.
+    /// Returns what this gateway has charged, if a report has to include it: when it has changed
+    /// since the last report or, with `reports_all`, when it is not zero.
     pub fn take_update(&mut self, reports_all: bool) -> Option<ChargeUpdate> {
         let is_unreported = std::mem::take(&mut self.is_unreported);
         (is_unreported || (reports_all && self.local_total != 0)).then(|| self.charge_update())
     }
 
-    /// What this gateway has charged.
+    /// Returns what this gateway has charged.
     pub fn charge_update(&self) -> ChargeUpdate {
         ChargeUpdate {
             total: self.local_total,
@@ -202,17 +204,18 @@
         }
     }
 
-    /// The limit in force.
+    /// Returns the limit in force.
     pub fn limit(&self) -> QuotaLimit {
         self.limit
     }
 
-    /// Units that this gateway and those it hears may still give out.
+    /// Returns the units that this gateway and the peers that it receives reports from may still
+    /// grant.
     pub fn left(&self, view: &QuotaView) -> f64 {
         view.grantable(&self.limit, self.unreported_demand(view)) - self.sum
     }
 
-    /// What callers of all gateways ask for until reports tell of it.
+    /// Returns the units that callers of all gateways request before reports include them.
     fn unreported_demand(&self, view: &QuotaView) -> f64 {
         self.demand / DEMAND_TIME_CONSTANT.as_secs_f64() * view.report_age.as_secs_f64()
     }
@@ -229,14 +232,15 @@
         }
     }
 
-    /// This gateway's part of the demand: what it charged of what all charged in
-    /// the window.
+    /// Returns this gateway's share of the demand: what it charged in the window, as a fraction of
+    /// what all gateways charged.
     fn local_share(&self, view: &QuotaView) -> f64 {
         let min_share = 1.0 / (view.live_peers + 1) as f64;
         if self.sum <= 0.0 { 1.0 } else { (self.local_sum / self.sum).clamp(min_share, 1.0) }
     }
 
-    /// What this gateway charged within `span`, which the others may not have heard.
+    /// Returns what this gateway charged within the last `span`. Its peers may not have received
+    /// reports of it.
     fn local_within(&self, span: Duration, now: Instant) -> f64 {
         let slots = self.slots.iter().rev();
         let recent =
@@ -244,7 +248,7 @@
         recent.map(|slot| slot.local).sum::<f64>().max(0.0)
     }
 
-    /// After how long `units` more have left the window.
+    /// Returns how long it takes until `units` more have left the window.
     fn time_to_expiry(&self, units: f64, now: Instant, view: &QuotaView) -> Duration {
         let mut freed = 0.0;
         for slot in &self.slots {
--- a/crates/gateway/src/cluster/quota_pool.rs
+++ b/crates/gateway/src/cluster/quota_pool.rs
@@ -1,5 +1,4 @@
-//! What organisations may still have run, over all gateways (a sliding window whose
-//! charges are replicated).
+//! Quotas of organisations over all gateways: sliding windows whose charges are replicated.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -12,22 +11,23 @@
 use crate::model::OrganisationRegistry;
 use crate::model::QuotaLimit;
 
-/// An organisation's name as its digest: quotas are per name, whatever its keys.
+/// Digest of an organisation's name. Quotas are per name, whatever keys the organisation has.
 pub type OrganisationDigest = u32;
-/// A gateway that has run for this much longer than another was there before it.
+/// A peer counts as started before this gateway when it has run for this much longer.
 const PRIOR_START_MARGIN: Duration = Duration::from_millis(500);
-/// What a gateway charged while it was not heard for longer may be past by now.
+/// After a longer time without reports of a peer, what it charged meanwhile may have left the
+/// window.
 const LATE_REPORT_AGE: Duration = Duration::from_secs(3);
-/// How long a gateway that is not heard is remembered: what it charged is known
-/// when it is heard again, frozen or cut off meanwhile.
+/// How long the totals of a peer are kept after its last report. When the peer reports again after
+/// it was frozen or partitioned, what it has charged meanwhile follows from them.
 const PEER_RETENTION: Duration = Duration::from_secs(600);
 
-/// The digest of an organisation's name, as it stands in reports.
+/// Returns the digest of an organisation's name, as used in reports.
 pub fn organisation_digest(name: &str) -> OrganisationDigest {
     umberglade_wire::digest(name.as_bytes()) as OrganisationDigest
 }
 
-/// What one other gateway has charged.
+/// What one peer has charged.
 #[derive(Debug)]
 struct PeerCharges {
     incarnation: u64,
@@ -37,12 +37,12 @@
 
 /// The quotas of all organisations.
 ///
-/// Each gateway charges what it lets run to a window of its own that stands for
-/// all, and tells the others its totals; each adds what the others charged. Nobody
-/// owns a quota. Where callers ask for more than is left until reports tell of it,
-/// each gateway lets through that part of them; until it hears of the others again
-/// it gives out no more than its part of the demand, and one that hears few of them
-/// no more than its part of the quota.
+/// Each gateway charges the requests that it grants to its own copy of a window that covers all
+/// gateways, reports its totals to its peers and adds what they charged. No gateway owns a quota.
+/// Where callers request more before reports include it than is left, each gateway grants the
+/// fraction of the requests that is left. Until a gateway receives reports again, it grants no
+/// more than its share of the demand; one that receives reports of few peers grants no more than
+/// its fraction of the quota.
 #[derive(Debug)]
 pub struct QuotaPool {
     started_at: Instant,
@@ -51,13 +51,13 @@
 }
 
 impl QuotaPool {
-    /// That of a gateway that has begun at `begun`.
+    /// Creates the pool of a gateway that started at `started_at`.
     pub fn new(started_at: Instant) -> Self {
         QuotaPool { started_at, accounts: FxHashMap::default(), peers: FxHashMap::default() }
     }
 
-    /// A configuration with `organisations` is in force; the names whose limit has
-    /// changed.
+    /// Applies the limits of a configuration with `organisations`. Returns the names of those whose
+    /// limit has changed.
     pub fn set_limits(
         &mut self,
         organisations: &OrganisationRegistry,
@@ -86,8 +86,8 @@
         changed
     }
 
-    /// Charges `cost` units, or says after how long that may be tried again; `draw`
-    /// is from 0 to 1.
+    /// Charges `cost` units, or returns after how long the caller may retry. `draw` is a random
+    /// number from 0 to 1.
     pub fn charge(
         &mut self,
         organisation: OrganisationDigest,
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Gives back `cost` units that were charged for what has not run.
+    /// Refunds `cost` units that were charged for a request that has not run.
     pub fn refund(&mut self, organisation: OrganisationDigest, cost: u64, now: Instant) {
         if let Some(account) = self.accounts.get_mut(&organisation) {
             account.refund(cost as f64, now);
         }
     }
 
-    /// Takes in what `peer`, which has run for `age`, has charged.
+    /// Applies what `peer`, which has run for `age`, reports to have charged.
     pub fn apply_peer_charges(
         &mut self,
         peer: u64,
@@ -152,8 +152,8 @@
         }
     }
 
-    /// What a report tells of this gateway's charges: those that have changed since
-    /// the last, or with `tells_all` all.
+    /// Returns the charges of this gateway that a report includes: those that have changed since
+    /// the last report, or with `reports_all` all.
     pub fn updates(&mut self, reports_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self.accounts.iter_mut();
         let updates = accounts
@@ -161,7 +161,7 @@
         updates.collect()
     }
 
-    /// What this gateway charged within the window, for those that are told rarely.
+    /// Returns what this gateway charged within the window, for peers that receive reports rarely.
     pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self
             .accounts
@@ -170,7 +170,8 @@
         accounts.filter(|(_, update)| update.recent > 0).collect()
     }
 
-    /// Drops what has left the window, and forgets gateways that are long gone.
+    /// Removes charges that have left the window, and peers without a report for
+    /// [`PEER_RETENTION`].
     pub fn tick(&mut self, view: &QuotaView, now: Instant) {
         for account in self.accounts.values_mut() {
             account.expire(view, now);
@@ -179,7 +180,7 @@
             .retain(|_, peer| now.saturating_duration_since(peer.received_at) < PEER_RETENTION);
     }
 
-    /// The limit of `organisation` and what is left of it; `None` without one.
+    /// Returns the limit of `organisation` and what is left of it; `None` if it has no limit.
     pub fn left(
         &self,
         organisation: OrganisationDigest,
--- a/crates/gateway/src/cluster/quota_view.rs
+++ b/crates/gateway/src/cluster/quota_view.rs
@@ -1,54 +1,54 @@
-//! What a gateway sees of the others when it gives out a quota.
+//! A gateway's view of its peers when it grants units of a quota.
 
 use std::time::Duration;
 
 use crate::model::QuotaLimit;
 
-/// The part of what may be exceeded that is for gateways not heard; the rest is for
+/// Fraction of the maximum overage reserved for gateways without recent reports. The rest is for
 /// starts and late reports.
 const SILENT_PEERS_FRACTION: f64 = 0.55;
-/// The part of what may be exceeded that is given out knowingly.
+/// Fraction of the maximum overage that is granted deliberately.
 const GRANTED_FRACTION: f64 = 0.4;
-/// The part of what may be exceeded that a gateway has at its start, when it knows
-/// nothing of what was charged before: so that several starts of all gateways stay
-/// within one window's bound.
+/// Fraction of the maximum overage that a gateway may grant at its start, when it does not know
+/// what was charged before. It is small, so that several restarts of all gateways stay within the
+/// bound of one window.
 const START_FRACTION: f64 = 0.15;
 
-/// The gateways heard, and the bound on what may be exceeded.
+/// The peers that report, and the bound on exceeding a quota.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaView {
-    /// Other gateways heard.
+    /// Number of peers with recent reports.
     pub live_peers: usize,
-    /// Gateways registered, this one included.
+    /// Number of registered gateways, this one included.
     pub members: usize,
-    /// How old what others tell is at most, while all is well.
+    /// Maximum age of what peers report, under normal conditions.
     pub report_age: Duration,
-    /// For how long no other gateway was heard, and the age of reports at least:
-    /// what this one charged since, the others may not know.
+    /// Time since the last report of any peer, at least `report_age`. Peers may not know what this
+    /// gateway has charged since.
     pub since_last_report: Duration,
     /// The window over which the bound holds.
     pub window: Duration,
-    /// The part by which a quota may be exceeded in the window.
+    /// Fraction by which a quota may be exceeded in the window.
     pub overage: f64,
-    /// Units besides.
+    /// Units by which it may be exceeded in addition.
     pub slack: f64,
 }
 
 impl QuotaView {
-    /// The part of all gateways that this one and those it hears are.
+    /// Returns this gateway and its live peers as a fraction of all registered gateways.
     pub fn fraction(&self) -> f64 {
         let reporting = self.live_peers + 1;
         reporting as f64 / self.members.max(reporting) as f64
     }
 
-    /// Units that this gateway and those it hears may give out in a window, where
-    /// callers ask for `asked_unheard` until reports tell of it.
+    /// Returns the units that this gateway and its live peers may grant in a window, where callers
+    /// request `unreported_demand` units before reports include them.
     ///
-    /// Guards against gateways that do not hear each other and give out the whole
-    /// quota each: few give out their own part; most give out the whole, and of what
-    /// may be exceeded what those that they do not hear may not use up. Some of that
-    /// is given out knowingly, so that what gateways do not know costs nobody who is
-    /// about at the limit.
+    /// Prevents gateways that do not receive each other's reports from each granting the whole
+    /// quota. Up to half of the gateways grant only their fraction of it. A majority grants the
+    /// whole quota and that part of the overage which the gateways without reports cannot use up.
+    /// Some overage is granted deliberately, so that organisations near their limit are not
+    /// rejected because of charges that gateways do not know yet.
     pub fn grantable(&self, limit: &QuotaLimit, unreported_demand: f64) -> f64 {
         let window_limit = self.window_limit(limit);
         let fraction = self.fraction();
@@ -61,17 +61,17 @@
         window_limit + granted_overage.min(max_overage * SILENT_PEERS_FRACTION - silent_peers_share)
     }
 
-    /// What a gateway may give out at its start. A restart is no new burst.
+    /// Returns the units that a gateway may grant at its start. A restart grants no new burst.
     pub fn initial_units(&self, limit: &QuotaLimit) -> f64 {
         START_FRACTION * self.max_overage(limit)
     }
 
-    /// Units that `limit` allows in a window.
+    /// Returns the units that `limit` allows in a window.
     pub fn window_limit(&self, limit: &QuotaLimit) -> f64 {
         limit.rate * self.window.as_secs_f64() + limit.burst
     }
 
-    /// Units by which `limit` may be exceeded in a window.
+    /// Returns the units by which `limit` may be exceeded in a window.
     pub fn max_overage(&self, limit: &QuotaLimit) -> f64 {
         self.window_limit(limit) * self.overage + self.slack
     }
--- a/crates/gateway/src/cluster/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that servers state in their answers.
+//! Rate limits that servers state in their responses.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,10 +11,10 @@
 use crate::model::ServerIncarnation;
 use crate::model::StatedLimit;
 
-/// How long a changed limit is eligible for every report.
+/// How long every report includes a changed limit, unless there are more than [`MAX_REPORTED`].
 const REPORT_WINDOW: Duration = Duration::from_secs(3);
 
-/// Maximum number of limits in a report; they take up at most a quarter of a datagram.
+/// Maximum number of limits in a report; they occupy at most a quarter of a datagram.
 const MAX_REPORTED: usize = 96;
 
 /// The last known limit of one server incarnation.
@@ -22,11 +22,11 @@
 struct ServerLimit {
     /// `None` after the limit was lifted.
     rate: Option<RequestRate>,
-    /// When the last answer that set `rate` arrived, here or at another gateway.
+    /// When the last response that set `rate` arrived, here or at a peer.
     updated_at: Instant,
     /// When the value of `rate` last changed at this gateway.
     changed_at: Instant,
-    /// Requests that this gateway may send, at its share of `rate`.
+    /// Limits the requests of this gateway to its share of `rate`.
     bucket: TokenBucket,
 }
 
@@ -44,12 +44,12 @@
 }
 
 impl ServerLimits {
-    /// Applies the limit stated by an answer to a request sent at `sent_at`, and returns
-    /// the change, if any.
+    /// Applies the limit stated by a response to a request sent at `sent_at`, and returns the
+    /// change, if any.
     ///
-    /// An answer without a limit lifts a known one only if its request was sent after
-    /// the last update. This keeps an answer that was generated before the limit was
-    /// stated, but arrives later, from lifting it.
+    /// A response without a limit lifts a known one only if its request was sent after the last
+    /// update. This prevents a response that was generated before the limit was stated, but
+    /// arrives later, from lifting it.
     pub fn record_response(
         &mut self,
         server: ServerIncarnation,
@@ -71,8 +71,8 @@
         self.set(server, after, now, now)
     }
 
-    /// Applies a limit reported by another gateway unless a newer one is known, and returns
-    /// the change, if any.
+    /// Applies a limit reported by a peer unless a newer one is known, and returns the change, if
+    /// any.
     pub fn apply_peer_limit(
         &mut self,
         update: LimitUpdate,
@@ -88,8 +88,9 @@
         self.set(update.server, update.rate, updated_at, now)
     }
 
-    /// The limits that a report includes: recent changes, or with `tells_all` every entry,
-    /// lifted limits included. If there are more than [`MAX_TOLD`], a random sample.
+    /// Returns the limits that a report includes: recent changes, or with `reports_all` every
+    /// entry, lifted limits included. If there are more than [`MAX_REPORTED`], returns a random
+    /// sample.
     pub fn updates(&self, reports_all: bool, now: Instant) -> Vec<LimitUpdate> {
         let is_recent =
             |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < REPORT_WINDOW;
@@ -102,7 +103,7 @@
         sample(updates.collect(), MAX_REPORTED)
     }
 
-    /// The last known limit of `server`; `None` if it never stated one or lifted it.
+    /// Returns the last known limit of `server`; `None` if it never stated one or lifted it.
     pub fn limit(&self, server: ServerIncarnation) -> Option<RequestRate> {
         self.limits.get(server)?.rate
     }
@@ -114,12 +115,12 @@
         }
     }
 
-    /// True when the limit of `server` allows this gateway a request now.
+    /// Returns true when the limit of `server` allows this gateway a request now.
     pub fn may_send(&self, server: ServerIncarnation, now: Instant) -> bool {
         self.active_limit(server).is_none_or(|limit| limit.bucket.has_token(now))
     }
 
-    /// Takes a token for a request that is about to be sent to `server`; false when its
+    /// Takes a token for a request that is about to be sent to `server`. Returns false when its
     /// limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         match self.limits.get_mut(server) {
@@ -128,8 +129,8 @@
         }
     }
 
-    /// When this gateway may send the next request to `server`; `None` when it has no share
-    /// of the limit.
+    /// Returns when this gateway may send the next request to `server`; `None` when it has no
+    /// share of the limit.
     pub fn next_send_at(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
         self.active_limit(server).map_or(Some(now), |limit| limit.bucket.next_token_at(now))
     }
@@ -139,17 +140,17 @@
         self.limits.tick(is_listed, now);
     }
 
-    /// Servers whose limit is in force.
+    /// Returns the number of servers whose limit is in force.
     pub fn active_count(&self) -> usize {
         self.limits.iter().filter(|(_, limit)| limit.rate.is_some()).count()
     }
 
-    /// The number of servers in the table, including those whose limit was lifted.
+    /// Returns the number of servers in the table, including those whose limit was lifted.
     pub fn len(&self) -> usize {
         self.limits.len()
     }
 
-    /// True when the table is empty.
+    /// Returns true when no server has stated a limit.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
--- a/crates/gateway/src/cluster/token_bucket.rs
+++ b/crates/gateway/src/cluster/token_bucket.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 use std::time::Instant;
 
-/// The capacity beyond the first token, as time at the current rate.
+/// Capacity beyond the first token, as time at the current rate.
 const BURST_TIME: Duration = Duration::from_millis(100);
 
 /// A token bucket that starts empty.
@@ -17,7 +17,7 @@
 }
 
 impl TokenBucket {
-    /// An empty bucket.
+    /// Creates an empty bucket.
     pub fn new(rate: f64, now: Instant) -> Self {
         TokenBucket { tokens: 0.0, rate, updated_at: now }
     }
@@ -31,12 +31,12 @@
         self.updated_at = now;
     }
 
-    /// True when a token is available.
+    /// Returns true when a token is available.
     pub fn has_token(&self, now: Instant) -> bool {
         self.tokens_at(now) >= 1.0
     }
 
-    /// Takes a token; false when none is available.
+    /// Takes a token. Returns false when none is available.
     pub fn take(&mut self, now: Instant) -> bool {
         if !self.has_token(now) {
             return false;
@@ -46,7 +46,7 @@
         true
     }
 
-    /// When the next token is available; `None` when the rate is zero and none is left.
+    /// Returns when the next token is available; `None` when the rate is zero and none is left.
     pub fn next_token_at(&self, now: Instant) -> Option<Instant> {
         let missing = 1.0 - self.tokens_at(now);
         if missing <= 0.0 {
@@ -61,7 +61,7 @@
     }
 }
 
-/// The maximum number of tokens held at `rate`.
+/// Returns the maximum number of tokens held at `rate`.
 fn capacity(rate: f64) -> f64 {
     1.0 + rate * BURST_TIME.as_secs_f64()
 }
--- a/crates/gateway/src/quota/mod.rs
+++ b/crates/gateway/src/quota/mod.rs
@@ -1,4 +1,4 @@
-//! Quotas of organisations at this process.
+//! Quotas of organisations, as this gateway process enforces them.
 
 mod quota_peers;
 mod quotas;
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -1,4 +1,4 @@
-//! The gateways that share quotas with this one.
+//! Counts the peers that share quotas with this gateway.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -8,30 +8,30 @@
 use crate::cluster::report_interval;
 use crate::state::GatewayState;
 
-/// A gateway not heard for longer does not count when a quota is given out: four
-/// reports at the slowest pace, so that lost ones change little.
+/// A peer without a report for longer does not count when units of a quota are granted. Four
+/// reports arrive in this time at the longest report interval, so that lost ones change little.
 const QUOTA_PEER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two counts of them, each of which looks at all reports.
+/// Interval between counts of the peers; each count scans all reports.
 const COUNT_INTERVAL: Duration = Duration::from_millis(50);
-/// From a report's sending until it is taken in.
+/// Time from sending a report until the peer has applied it.
 const REPORT_DELAY: Duration = Duration::from_millis(10);
 
-/// Other gateways as they were counted.
+/// Peers at the time of the last count.
 #[derive(Debug, Clone, Copy)]
 pub struct QuotaPeers {
     counted_at: Instant,
     live_peers: usize,
-    /// True when some are of another shard, and told rarely.
+    /// True when some are of another shard; these exchange reports at longer intervals.
     has_remote: bool,
 }
 
 impl GatewayState {
-    /// For how long the process has run.
+    /// Returns how long the process has run.
     pub fn age(&self) -> Duration {
         self.begun.elapsed()
     }
 
-    /// What this gateway sees of the others when it gives out a quota.
+    /// Returns this gateway's view of its peers for granting units of a quota.
     pub fn quota_view(&self) -> QuotaView {
         let now = Instant::now();
         let QuotaPeers { live_peers, has_remote, .. } = self.quota_peers(now);
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Other gateways that share quotas with this one, counted now and then.
+    /// Returns the peers that share quotas with this gateway, counted again after
+    /// [`COUNT_INTERVAL`].
     fn quota_peers(&self, now: Instant) -> QuotaPeers {
         let known = *self.quota_peers.lock().expect("quota peers lock");
         let is_recent =
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -1,4 +1,4 @@
-//! What this process gives out of each organisation's quota.
+//! Charges requests to the quotas of organisations.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -17,26 +17,26 @@
 use crate::model::Organisation;
 use crate::model::OrganisationRegistry;
 
-/// Organisations with metrics of their own; the others share one label.
+/// Maximum number of organisations with their own metrics label; the others share one label.
 const MAX_LABELS: usize = 32;
-/// The label of the others.
+/// The metrics label that the other organisations share.
 const OTHER_LABEL: &str = "other";
 
-/// The quotas, with log lines and metrics of what is decided.
+/// The quotas, with log lines and metrics of the decisions.
 #[derive(Debug)]
 pub struct Quotas {
     pool: Mutex<QuotaPool>,
-    /// Labels of metrics, by organisation.
+    /// Metrics labels by organisation.
     labels: Mutex<FxHashMap<OrganisationDigest, String>>,
 }
 
 impl Quotas {
-    /// Those of a process that has begun at `begun`.
+    /// Creates the quotas of a process that started at `started_at`.
     pub fn new(started_at: Instant) -> Self {
         Quotas { pool: Mutex::new(QuotaPool::new(started_at)), labels: Mutex::default() }
     }
 
-    /// A configuration with `organisations` is in force.
+    /// Applies the limits of configuration `version` with `organisations`.
     pub fn set_limits(
         &self,
         organisations: &OrganisationRegistry,
@@ -64,13 +64,13 @@
                 rate,
                 burst,
                 left,
-                "quota in force"
+                "quota changed"
             );
         }
     }
 
-    /// Charges `cost` units to `organisation` for `request_id`, or says after how
-    /// long it may come back.
+    /// Charges `cost` units to `organisation` for `request_id`, or returns after how long the
+    /// caller may retry.
     pub fn charge(
         &self,
         organisation: &Organisation,
@@ -101,17 +101,17 @@
             gateways = view.members,
             unheard_ms = view.since_last_report.as_millis() as u64,
             retry_after_ms = retry_after.as_millis() as u64,
-            "quota spent"
+            "request rejected: quota used up"
         );
         Err(retry_after)
     }
 
-    /// Gives back what was charged for a request that has not run.
+    /// Refunds the charge of a request that has not run.
     pub fn refund(&self, organisation: OrganisationDigest, cost: u64) {
         self.pool().refund(organisation, cost, Instant::now());
     }
 
-    /// Takes in what another gateway, which has run for `age`, has charged.
+    /// Applies what `peer`, which has run for `age`, reports to have charged.
     pub fn apply_peer_charges(
         &self,
         peer: u64,
@@ -123,17 +123,18 @@
         self.pool().apply_peer_charges(peer, incarnation, age, charges, view, Instant::now());
     }
 
-    /// What a report tells the other gateways.
+    /// Returns the charges that a report includes: those that have changed since the last report,
+    /// or with `reports_all` all.
     pub fn updates(&self, reports_all: bool) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         self.pool().updates(reports_all)
     }
 
-    /// What a report tells gateways that are told rarely.
+    /// Returns the charges that a report to peers includes which receive reports rarely.
     pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         self.pool().recent_updates()
     }
 
-    /// Drops what is past, and shows in metrics what is used.
+    /// Removes expired charges, and sets the gauges of the used fraction of each quota.
     pub fn tick(&self, view: &QuotaView) {
         self.pool().tick(view, Instant::now());
         let labels = self.labels.lock().expect("labels lock").clone();
