--- a/crates/gateway/src/model/attempt_spec.rs
+++ b/crates/gateway/src/model/attempt_spec.rs
@@ -1,38 +1,38 @@
-//! How a caller's request is sent on to a backend server.
+//! How a caller's request is forwarded to a backend server.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use super::ServerKey;
 
-/// Where a finished prompt's KV cache waits to be fetched.
+/// Where the KV cache of a prefilled prompt can be fetched.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CacheSource {
     /// The prefill server that holds it.
     pub server: SocketAddr,
-    /// The handle that server gave.
+    /// The handle by which that server identifies it.
     pub handle: String,
 }
 
-/// What the server is to do with the request.
+/// What the server shall do with the request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AttemptPurpose {
-    /// Answer it whole, reading its prompt first if it has one.
+    /// Generate the complete response, after prefilling the prompt if there is one.
     Respond,
-    /// Only read its prompt, and keep the KV cache for a decode server.
+    /// Only prefill the prompt and keep the KV cache for a decode server.
     Prefill,
-    /// Fetch the KV cache and stream the answer.
+    /// Fetch the KV cache and stream the response.
     Decode(CacheSource),
 }
 
-/// One send of a caller's request.
+/// One attempt to run a caller's request at a server.
 #[derive(Debug, Clone)]
 pub struct AttemptSpec {
-    /// The server meant; any other that has its address must refuse.
+    /// The intended server. Any other server that has its address must reject the request.
     pub server: ServerKey,
-    /// What is left of the caller's patience and the route's timeout.
+    /// Time left of the caller's and the route's timeout.
     pub time_left: Duration,
     pub purpose: AttemptPurpose,
-    /// The last event the caller has, when a stream goes on elsewhere.
+    /// The last event that the caller has received, when a stream resumes at another server.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/model/caller_identity.rs
+++ b/crates/gateway/src/model/caller_identity.rs
@@ -1,12 +1,12 @@
-//! What a server is told of who calls.
+//! The caller's identity as it is forwarded to a server.
 
 use super::OrganisationName;
 
-/// How a request is marked before it is sent on.
+/// The identity that is set on a request before it is forwarded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CallerIdentity {
-    /// Whose key it was sent with, if anyone's.
+    /// The organisation whose key the request was sent with, if any.
     pub organisation: Option<OrganisationName>,
-    /// True where keys are the gateway's to check, and no server sees them.
+    /// True when the gateway checks keys, and servers do not receive them.
     pub strips_key: bool,
 }
--- a/crates/gateway/src/model/caller_key.rs
+++ b/crates/gateway/src/model/caller_key.rs
@@ -1,13 +1,13 @@
-//! The key that a request was sent with.
+//! The key sent with a request.
 
 use super::KeyDigest;
 
-/// What a request's credentials hold.
+/// The key in a request's credentials.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum CallerKey {
     #[default]
     None,
     Sent(KeyDigest),
-    /// Credentials that hold no key: of another kind, several, or not readable.
+    /// Credentials without a usable key: of another scheme, more than one, or unreadable.
     Malformed,
 }
--- a/crates/gateway/src/model/config_snapshot.rs
+++ b/crates/gateway/src/model/config_snapshot.rs
@@ -1,4 +1,4 @@
-//! A configuration as gateways hand it to each other.
+//! A configuration as gateways send it to each other.
 
 use std::collections::HashMap;
 
@@ -14,10 +14,10 @@
 use super::ServiceSpec;
 use super::StoreVersion;
 
-/// A decoded configuration: keys are digests in it.
+/// A decoded configuration, which contains digests of keys instead of the keys.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ConfigSnapshot {
-    /// The version of the store's row that it was read from.
+    /// The version of the store row that it was read from.
     pub row_version: StoreVersion,
     version: ConfigVersion,
     routes: Vec<Route>,
@@ -27,7 +27,7 @@
 }
 
 impl ConfigSnapshot {
-    /// A copy of `table`, read at `row_version`.
+    /// Creates a snapshot of `table`, read at `row_version`.
     pub fn of(row_version: StoreVersion, table: &RouteTable) -> Self {
         ConfigSnapshot {
             row_version,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// The table again.
+    /// Converts the snapshot back into a table.
     pub fn into_table(self) -> RouteTable {
         RouteTable::new(self.version, self.routes, self.services, self.limits)
             .with_organisations(self.organisations)
--- a/crates/gateway/src/model/gateway_settings.rs
+++ b/crates/gateway/src/model/gateway_settings.rs
@@ -1,4 +1,4 @@
-//! What a gateway process is told at its start.
+//! Settings of a gateway process, fixed at its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,37 +12,36 @@
     pub instance: String,
     /// This instance's failure domain.
     pub domain: DomainKey,
-    /// Where callers connect.
+    /// Address that callers connect to.
     pub front: SocketAddr,
-    /// Where the balancer asks whether this instance takes callers, and
-    /// where metrics are read.
+    /// Address of the readiness check of the load balancer in front of the gateways, and of the
+    /// metrics.
     pub ready: SocketAddr,
-    /// Where metrics are read besides `ready`, if anywhere.
+    /// Additional address of the metrics, if any.
     pub metrics: Option<SocketAddr>,
-    /// Where other gateways send their load reports, over UDP.
+    /// UDP address that peers send their load reports to.
     pub peer: SocketAddr,
-    /// Where the platform's store answers.
+    /// Address of the platform's store.
     pub store: SocketAddr,
-    /// What this instance's link carries; `None` where that is not known.
+    /// Bandwidth of this instance's network link; `None` when it is not known.
     pub link_bytes_per_s: Option<f64>,
-    /// How long after its writing a configuration must be in force.
+    /// Time after its writing within which a configuration must be in force.
     pub config_bound: Duration,
-    /// How long after its announcement a leaving server may get new work.
+    /// How long a draining server may still get new work after it has announced its departure.
     pub drain_bound: Duration,
     /// How long a graceful stop may take before the process is killed.
     pub stop_grace: Duration,
-    /// The most that repeated sends may add to a service's requests, as a
-    /// share of them.
+    /// Maximum number of retries, as a fraction of a service's requests.
     pub retry_ratio: f64,
-    /// Repeated sends allowed besides that share, within `retry_window`,
-    /// over all gateways together.
+    /// Retries allowed in addition to that fraction within `retry_window`, over all gateways
+    /// together.
     pub retry_slack: f64,
-    /// The window over which repeated sends are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// The window over which what organisations have run is counted.
+    /// The window over which the units that organisations use are counted.
     pub quota_window: Duration,
-    /// The part by which a quota may be exceeded in that window.
+    /// Fraction by which a quota may be exceeded in that window.
     pub quota_overage: f64,
-    /// Units by which it may be exceeded besides.
+    /// Units by which it may be exceeded in addition.
     pub quota_slack: f64,
 }
--- a/crates/gateway/src/model/key_digest.rs
+++ b/crates/gateway/src/model/key_digest.rs
@@ -1,4 +1,4 @@
-//! A caller's key, as far as the gateway keeps it.
+//! The digest of a caller's key, which the gateway stores instead of the key.
 
 use std::fmt;
 
@@ -7,17 +7,16 @@
 use sha2::Digest;
 use sha2::Sha256;
 
-/// Bytes kept of a key's hash: enough that no two keys meet.
+/// Number of bytes kept of a key's hash, enough to rule out collisions in practice.
 const DIGEST_LEN: usize = 16;
 
-/// The digest of a key (SHA-256, its first half). Keys are long and random, so it
-/// tells nothing of the key, and looking one up takes the same time whether it is
-/// known.
+/// The digest of a key: the first half of its SHA-256 hash. Keys are long and random, so the digest
+/// reveals nothing about the key, and a lookup takes the same time whether or not the key is known.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct KeyDigest([u8; DIGEST_LEN]);
 
 impl KeyDigest {
-    /// That of `key`.
+    /// Computes the digest of `key`.
     pub fn of(key: &[u8]) -> Self {
         let hash = Sha256::digest(key);
         let mut bytes = [0; DIGEST_LEN];
@@ -25,13 +24,13 @@
         KeyDigest(bytes)
     }
 
-    /// Its bytes.
+    /// Returns the bytes of the digest.
     pub fn as_bytes(&self) -> &[u8] {
         &self.0
     }
 }
 
-/// As logs name it: its first four bytes.
+/// Writes the first four bytes in hexadecimal, as used in logs.
 impl fmt::Display for KeyDigest {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0[..4].iter().try_for_each(|byte| write!(formatter, "{byte:02x}"))
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -1,6 +1,5 @@
-//! What the gateway knows of routes, servers, callers and answers, in the
-//! project's own terms. An adapter fills these types; nothing here depends
-//! on how a platform spells them.
+//! The gateway's model of routes, servers, callers and responses. An adapter fills these types;
+//! nothing here depends on the formats of a platform.
 
 mod attempt_spec;
 mod caller_identity;
@@ -63,13 +62,13 @@
 
 use std::sync::Arc;
 
-/// A backend server's id. Shared, since every request and log line names one.
+/// A backend server's id. Reference-counted, since every request and log line names one.
 pub type ServerKey = Arc<str>;
-/// A digest of a server's id and of when it started: what is known of one
-/// start of a server says nothing of the next.
+/// A digest of a server's id and start time. State known about one incarnation of a server does not
+/// apply to the next.
 pub type ServerIncarnation = u64;
-/// A digest of what a request asks and of who asks it: the same when the request
-/// comes again under another id.
+/// A digest of a request's content and its caller. It is the same when the request is sent again
+/// under another id.
 pub type RequestFingerprint = u64;
 /// A service's name, as in the configuration.
 pub type ServiceName = Arc<str>;
@@ -79,5 +78,5 @@
 pub type DomainKey = Arc<str>;
 /// The version of the configuration in force.
 pub type ConfigVersion = u64;
-/// A row's version in the store's table service: only grows.
+/// A row's version in the store's table service. Versions only increase.
 pub type StoreVersion = u64;
--- a/crates/gateway/src/model/organisation.rs
+++ b/crates/gateway/src/model/organisation.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Organisation {
     pub name: OrganisationName,
-    /// Goes before its route's; 0 is the most urgent.
+    /// Overrides the priority of the route; 0 is the most urgent.
     pub priority: Option<u32>,
     /// `None` for no limit.
     pub quota: Option<QuotaLimit>,
--- a/crates/gateway/src/model/organisation_registry.rs
+++ b/crates/gateway/src/model/organisation_registry.rs
@@ -1,4 +1,4 @@
-//! All organisations of a configuration, by their keys.
+//! The organisations of a configuration, by their keys.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,14 +10,14 @@
 use super::KeyDigest;
 use super::Organisation;
 
-/// Who calls, as the configuration in force says.
+/// The caller of a request, according to the configuration in force.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CallerLookup {
-    /// Nobody in particular: the configuration names no organisations, or the
-    /// route is open to all and no known key was sent.
+    /// The configuration contains no organisations, or the route is open to all and no known key
+    /// was sent.
     Anonymous,
     Known(Arc<Organisation>),
-    /// No organisation holds the key.
+    /// No organisation has the key, or the route needs one and none was sent.
     UnknownKey,
 }
 
@@ -25,19 +25,19 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct OrganisationRegistry {
     organisations: Vec<Arc<Organisation>>,
-    /// Places in `organisations`, by key.
+    /// Indices into `organisations`, by key.
     keys: HashMap<KeyDigest, usize>,
 }
 
 impl OrganisationRegistry {
-    /// Adds an organisation that holds `keys`.
+    /// Adds an organisation with its keys.
     pub fn add(&mut self, organisation: Organisation, keys: impl IntoIterator<Item = KeyDigest>) {
         let index = self.organisations.len();
         self.organisations.push(Arc::new(organisation));
         self.keys.extend(keys.into_iter().map(|key| (key, index)));
     }
 
-    /// Who calls with `key`; routes that are `open` need none.
+    /// Returns the caller that sent `key`. Routes for which `is_open` is true need no key.
     pub fn caller(&self, key: &CallerKey, is_open: bool) -> CallerLookup {
         if self.is_empty() {
             return CallerLookup::Anonymous;
@@ -53,22 +53,22 @@
         }
     }
 
-    /// All organisations.
+    /// Iterates over all organisations.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Organisation>> {
         self.organisations.iter()
     }
 
-    /// The keys of all organisations.
+    /// Iterates over the keys of all organisations.
     pub fn keys(&self) -> impl Iterator<Item = &KeyDigest> {
         self.keys.keys()
     }
 
-    /// Organisations.
+    /// Returns the number of organisations.
     pub fn len(&self) -> usize {
         self.organisations.len()
     }
 
-    /// True without any: requests need no key then.
+    /// Returns true when there are no organisations; requests need no key then.
     pub fn is_empty(&self) -> bool {
         self.organisations.is_empty()
     }
--- a/crates/gateway/src/model/quota_limit.rs
+++ b/crates/gateway/src/model/quota_limit.rs
@@ -1,34 +1,33 @@
-//! How much an organisation may have run.
+//! The quota of an organisation.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use super::RequestHead;
 
-/// What a quota counts.
+/// The unit that a quota counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaUnit {
     Requests,
-    /// Tokens of the prompt and those that may be generated.
+    /// Tokens of the prompt plus the maximum number of generated tokens.
     Tokens {
-        /// Counted for a request that states no sizes.
+        /// Units that a request counts for when it states no sizes.
         plain: u64,
     },
 }
 
-/// A quota: a token bucket over all gateways together.
+/// A quota: the parameters of a token bucket over all gateways together.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct QuotaLimit {
     pub unit: QuotaUnit,
-    /// Units a second. Invariant: finite, above zero.
+    /// Units per second. Invariant: finite and greater than zero.
     pub rate: f64,
-    /// Units that may be used at once after a pause. Invariant: finite, not below
-    /// zero.
+    /// Units that may be used at once after a pause. Invariant: finite and not negative.
     pub burst: f64,
 }
 
 impl QuotaLimit {
-    /// The units that a request with `head` counts for.
+    /// Returns the units that a request with `head` counts for.
     pub fn cost(&self, head: &RequestHead) -> u64 {
         match (self.unit, &head.prompt) {
             (QuotaUnit::Requests, _) => 1,
--- a/crates/gateway/src/model/request_fingerprint.rs
+++ b/crates/gateway/src/model/request_fingerprint.rs
@@ -1,23 +1,23 @@
-//! What makes two requests the same.
+//! The fingerprint by which repeated requests are recognised.
 
 use super::RequestFingerprint;
 
-/// The parts of a request that come again when its caller repeats it. Its id,
-/// its deadline and where it resumes are each try's own.
+/// The parts of a request that are the same when its caller sends it again. The id, the deadline
+/// and the resume position differ between attempts and are not included.
 #[derive(Debug, Clone, Copy)]
 pub struct FingerprintParts<'a> {
     pub method: &'a str,
     pub host: &'a str,
     /// Path and query.
     pub target: &'a str,
-    /// Who calls, where the request says so: its credentials.
+    /// The caller's credentials, if the request has any.
     pub credentials: &'a [u8],
     pub body: &'a [u8],
 }
 
 impl FingerprintParts<'_> {
-    /// The same for requests that are the same. Each part's digest seeds the
-    /// next, so that no part's end can pass for the beginning of another.
+    /// Computes the fingerprint. Each part's digest seeds the next, so that moving bytes from the
+    /// end of one part to the start of the next changes the fingerprint.
     pub fn digest(&self) -> RequestFingerprint {
         let parts = [
             self.method.as_bytes(),
--- a/crates/gateway/src/model/request_head.rs
+++ b/crates/gateway/src/model/request_head.rs
@@ -1,39 +1,39 @@
-//! What the head of a caller's request tells.
+//! The decoded head of a caller's request.
 
 use std::time::Duration;
 
 use super::CallerKey;
 
-/// The size of a prompt and of its answer.
+/// The size of a prompt and of its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PromptShape {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u32,
-    /// The most tokens that may be generated.
+    /// Maximum number of tokens to generate.
     pub output_limit: u32,
-    /// The caller's estimate of the tokens generated: right at the median,
-    /// often far off.
+    /// The caller's estimate of the number of generated tokens. It is right at the median, but
+    /// individual estimates are often far off.
     pub output_estimate: Option<u32>,
 }
 
 impl PromptShape {
-    /// Tokens expected to be generated.
+    /// Returns the number of tokens expected to be generated.
     pub fn expected_output(&self) -> u32 {
         self.output_estimate.unwrap_or(self.output_limit).min(self.output_limit)
     }
 }
 
-/// A caller's request head, decoded.
+/// The decoded head of a caller's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct RequestHead {
-    /// The caller's id of this attempt; each attempt has its own.
+    /// The id that the caller gave this attempt; each attempt has its own.
     pub request_id: Option<String>,
-    /// How long the caller will wait, from the moment it sent the request.
+    /// How long the caller waits, from the moment it sent the request.
     pub timeout: Option<Duration>,
-    /// Who calls.
+    /// The caller's key.
     pub key: CallerKey,
     /// Present on requests to model engines.
     pub prompt: Option<PromptShape>,
-    /// The last event the caller already has, when it resumes a stream.
+    /// The last event that the caller has received, when it resumes a stream.
     pub resume_after: Option<u64>,
 }
--- a/crates/gateway/src/model/request_rate.rs
+++ b/crates/gateway/src/model/request_rate.rs
@@ -20,7 +20,7 @@
         is_rate.then(|| RequestRate { milli: (per_second * 1000.0).round() as u32 })
     }
 
-    /// The rate in requests per second.
+    /// Returns the rate in requests per second.
     pub fn per_second(self) -> f64 {
         f64::from(self.milli) / 1000.0
     }
--- a/crates/gateway/src/model/route_table.rs
+++ b/crates/gateway/src/model/route_table.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: which request goes to which service.
+//! The route table: which request goes to which service.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use super::OrganisationRegistry;
 use super::ServiceName;
 
-/// What may be repeated of a route's requests.
+/// Determines which of a route's requests may be retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum CallKind {
@@ -22,15 +22,15 @@
     Idempotent,
     /// May run at most once for each caller's attempt.
     AtMostOnce,
-    /// Answered by a series of events; runs at most once unless resumable.
+    /// The response is a stream of events. Runs at most once unless the route is resumable.
     Stream,
 }
 
-/// A service that gets part of a route's requests.
+/// A service that gets a fraction of a route's requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RouteShare {
     pub service: ServiceName,
-    /// Its part, relative to the other shares' weights.
+    /// Weight of the service, relative to the other shares of the route.
     pub weight: u32,
 }
 
@@ -43,26 +43,27 @@
     /// Begins and ends with a slash.
     pub prefix: String,
     pub kind: CallKind,
-    /// True when a stream may go on at another server.
+    /// True when a stream may resume at another server.
     pub resumable: bool,
-    /// Servers one caller's attempt may run on.
+    /// Maximum number of servers that one caller's attempt may run on.
     pub max_attempts: u32,
     /// True when requests need no key.
     pub is_open: bool,
     /// 0 is the most urgent.
     pub priority: u32,
-    /// The longest the operator wants a caller kept waiting.
+    /// Maximum time that the operator allows a caller to wait.
     pub timeout: Option<Duration>,
-    /// The time to the answer, or a stream's first event, worth full value.
+    /// Maximum time to the response, or to a stream's first event, at which a request still counts
+    /// in full.
     pub target_latency: Option<Duration>,
-    /// The longest pause between a stream's events that is still on time.
+    /// Maximum gap between two events of a stream that is still within the target.
     pub target_gap: Option<Duration>,
     /// Invariant: not empty; one entry unless the route is split.
     pub shares: SmallVec<[RouteShare; 1]>,
 }
 
 impl Route {
-    /// True when a request may run again after it may already have run.
+    /// Returns true when a request may be retried even though it may have run already.
     pub fn is_repeatable(&self) -> bool {
         match self.kind {
             CallKind::Idempotent => true,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The service for a request: the shares' weights decide, `draw` picks.
+    /// Picks the service for a request by the weights of the shares and the random number `draw`.
     pub fn service(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut point = draw % total.max(1);
@@ -89,13 +90,13 @@
 /// One service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServiceSpec {
-    /// Connections one server accepts from all gateways together.
+    /// Maximum number of connections that one server accepts from all gateways together.
     pub max_connections: u32,
-    /// Present for services of model engines.
+    /// `None` for services without model engines.
     pub engine: Option<EngineSpec>,
 }
 
-/// What a caller may send, and how long it may take.
+/// Size and time limits of a caller's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerLimits {
     pub max_header_bytes: usize,
@@ -105,7 +106,7 @@
 }
 
 impl Default for CallerLimits {
-    /// Bounds until a configuration is known: the ones most deployments set.
+    /// Returns the limits that apply until a configuration is known; most deployments set these.
     fn default() -> Self {
         CallerLimits {
             max_header_bytes: 16 * 1024,
@@ -116,7 +117,7 @@
     }
 }
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Debug, Clone, Default)]
 pub struct RouteTable {
     pub version: ConfigVersion,
@@ -128,7 +129,7 @@
 }
 
 impl RouteTable {
-    /// A table of `routes`, in any order, without organisations.
+    /// Creates a table of `routes`, in any order, without organisations.
     pub fn new(
         version: ConfigVersion,
         routes: Vec<Route>,
@@ -146,13 +147,13 @@
         RouteTable { version, services, limits, organisations, hosts }
     }
 
-    /// The table with `organisations`, whose callers need keys.
+    /// Returns the table with `organisations`, whose callers need keys.
     pub fn with_organisations(self, organisations: OrganisationRegistry) -> Self {
         RouteTable { organisations, ..self }
     }
 
-    /// The route of a request: among its host's, the one with the longest
-    /// prefix of `path`.
+    /// Returns the route of a request: of the routes of `host`, the one whose prefix is the longest
+    /// that matches `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let name = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let routes = match self.hosts.get(name) {
@@ -162,17 +163,17 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// All routes.
+    /// Iterates over the routes of all hosts.
     pub fn routes(&self) -> impl Iterator<Item = &Arc<Route>> {
         self.hosts.values().flatten()
     }
 
-    /// Routes of all hosts.
+    /// Returns the number of routes of all hosts.
     pub fn len(&self) -> usize {
         self.hosts.values().map(Vec::len).sum()
     }
 
-    /// True without any route.
+    /// Returns true when there are no routes.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
--- a/crates/gateway/src/model/server_entry.rs
+++ b/crates/gateway/src/model/server_entry.rs
@@ -10,15 +10,15 @@
 use super::ServerKey;
 use super::ServiceName;
 
-/// The part of a request that a model engine does.
+/// The stage of a request that a model engine runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum ServerStage {
     /// Not a model engine.
     Plain,
-    /// Reads prompts.
+    /// Prefills prompts.
     Prefill,
-    /// Generates tokens; reads prompts too, more slowly.
+    /// Generates tokens. Can also prefill prompts, but more slowly.
     Decode,
 }
 
@@ -29,25 +29,24 @@
     pub service: ServiceName,
     pub address: SocketAddr,
     pub domain: DomainKey,
-    /// Requests it works on at a time.
+    /// Number of requests that the server processes at a time.
     pub slots: u32,
     pub stage: ServerStage,
-    /// True once it has announced that it leaves.
+    /// True once the server has announced its departure.
     pub is_leaving: bool,
-    /// When this start of the server was, by its own clock; `None` if it does
-    /// not say. A server may start again under its id: it then knows nothing
-    /// of before.
+    /// When the server started, by its own clock; `None` if it does not state it. A server may
+    /// restart under the same id and then has no state from before.
     pub started_at: Option<SystemTime>,
 }
 
 impl ServerEntry {
-    /// Names this start of the server, among all starts of all servers.
+    /// Returns the incarnation, which identifies one start of one server.
     pub fn incarnation(&self) -> ServerIncarnation {
         server_incarnation(&self.server, self.started_at)
     }
 }
 
-/// Names the start of `server` at `started_at`.
+/// Returns the incarnation of `server` that started at `started_at`.
 pub fn server_incarnation(server: &str, started_at: Option<SystemTime>) -> ServerIncarnation {
     let since_epoch = started_at.and_then(|at| at.duration_since(SystemTime::UNIX_EPOCH).ok());
     let seed = since_epoch.map_or(0, |since| since.as_millis() as u64);
--- a/crates/gateway/src/model/stage_order.rs
+++ b/crates/gateway/src/model/stage_order.rs
@@ -5,28 +5,28 @@
 use super::ServerStage;
 use super::StoreVersion;
 
-/// What an engine is told.
+/// An order to change to `stage`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StageOrder {
     pub stage: ServerStage,
-    /// The instance that orders.
+    /// The instance that issues the order as the leader.
     pub holder: String,
-    /// The version of the row by which it claimed the duty: later claims have
-    /// higher ones.
+    /// The version of the row by which the instance became the leader. Later leaders have higher
+    /// versions.
     pub fence: StoreVersion,
-    /// Orders that the engine must have accepted so far; it refuses if there
-    /// were others, so that an order which comes late changes nothing.
+    /// Number of orders that the engine must have accepted so far. The engine rejects the order if
+    /// the number differs, so that a delayed order has no effect.
     pub expected_orders: u64,
 }
 
-/// What an engine says of orders.
+/// An engine's report on its stage and orders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineReport {
     pub stage: ServerStage,
-    /// An order is being carried out.
+    /// True while the engine carries out an order.
     pub is_changing: bool,
-    /// Orders accepted since its start.
+    /// Number of orders accepted since the engine's start.
     pub orders: u64,
-    /// When it started, if it says so.
+    /// When the engine started, if it states that.
     pub started_at: Option<SystemTime>,
 }
--- a/crates/gateway/src/model/store_row.rs
+++ b/crates/gateway/src/model/store_row.rs
@@ -9,7 +9,7 @@
 
 use super::StoreVersion;
 
-/// The tables the gateway follows.
+/// The tables that the gateway follows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum StoreTable {
@@ -19,21 +19,21 @@
     Servers,
     /// The gateways themselves.
     Members,
-    /// Who may do what only one gateway may do at a time.
+    /// Leaders of the tasks that only one gateway may do at a time.
     Duties,
-    /// Requests that are held back, by content.
+    /// Quarantined requests, by fingerprint.
     Quarantines,
 }
 
 impl StoreTable {
-    /// True for rows in which callers' keys stand: gateways do not tell each other
-    /// of them as they are.
+    /// Returns true for tables whose rows contain callers' keys. Gateways do not send each other
+    /// such rows as they are.
     pub fn holds_keys(self) -> bool {
         self == StoreTable::Configuration
     }
 }
 
-/// One row, or the news that it is gone.
+/// One row, or its removal.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreRow {
     pub key: String,
@@ -41,24 +41,24 @@
     pub value: RowValue,
 }
 
-/// What a row holds.
+/// The value of a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowValue {
     Held(Bytes),
-    /// The row is gone.
+    /// The row was removed.
     Removed,
-    /// It holds what can't be decoded; why.
+    /// The value cannot be decoded, for the stated reason.
     Unreadable(String),
 }
 
-/// The store's answer to a listing or a feed.
+/// The store's response to a listing or a feed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RowBatch {
     pub rows: Vec<StoreRow>,
-    /// Everything up to this version is in the answer.
+    /// The response contains all changes up to this version.
     pub version: StoreVersion,
-    /// The store's steady clock, when it answered.
+    /// The store's monotonic clock at the time of the response.
     pub store_time: Duration,
-    /// True when a listing goes on after its last key.
+    /// True when a listing continues after its last key.
     pub has_more: bool,
 }
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -101,7 +101,7 @@
             gateways = view.members,
             unheard_ms = view.since_last_report.as_millis() as u64,
             retry_after_ms = retry_after.as_millis() as u64,
-            "request rejected: quota used up"
+            "request rejected by quota"
         );
         Err(retry_after)
     }
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -38,7 +38,7 @@
     RequestRate::new(per_second).expect("a rate")
 }
 
-/// Requests that a server with `limit` may get in [`WINDOW`].
+/// Returns the number of requests that a server with `limit` may receive in [`WINDOW`].
 fn allowed(limit: f64) -> usize {
     (1.5 * limit * WINDOW.as_secs_f64() + 5.0) as usize
 }
@@ -61,13 +61,13 @@
     name: &'static str,
     gateways: usize,
     limit: f64,
-    /// How many of the servers state `limit`.
+    /// Number of servers that state `limit`.
     limited: usize,
     /// Fraction of reports that are lost.
     loss: f64,
     /// Requests per second at all gateways together.
     request_rate: f64,
-    /// Steps whose requests are sent together as one burst; 1 for no bursts.
+    /// Number of steps whose requests are sent together as one burst; 1 for no bursts.
     burst_steps: u32,
     /// Fraction of the gateways that restart after 10 s.
     restarted_fraction: f64,
@@ -122,7 +122,7 @@
         fleet
     }
 
-    /// Delivers a report of each gateway, with all its known limits, to the others.
+    /// Delivers a report of each gateway, with all its known limits, to its peers.
     fn report(&mut self) {
         self.sequence += 1;
         for from in 0..self.fleets.len() {
@@ -163,7 +163,7 @@
         self.calls.push((self.now + CALL_DURATION, gateway, server));
     }
 
-    /// Ends the calls that are due; their answers state the limits.
+    /// Completes the calls that are due; their responses state the limits.
     fn complete_calls(&mut self) {
         let now = self.now;
         let (due, open) =
@@ -222,7 +222,8 @@
         }
     }
 
-    /// The most arrivals at `server` in any [`WINDOW`] that begins at `from` or later.
+    /// Returns the maximum number of arrivals at `server` in any [`WINDOW`] that starts at `from`
+    /// or later.
     fn busiest_window(&self, server: usize, from: Instant) -> usize {
         let after: Vec<Instant> =
             self.arrivals[server].iter().copied().filter(|at| *at >= from).collect();
@@ -232,8 +233,8 @@
     }
 }
 
-/// Guards against limits that are exceeded with many gateways, bursts of requests, lost
-/// reports or restarts, and against limits left unused.
+/// Checks that limits are not exceeded with many gateways, bursts of requests, lost reports or
+/// restarts, and that they are not left unused.
 #[test]
 fn limits_hold_over_any_number_of_gateways() {
     let cases = [
@@ -308,7 +309,7 @@
     }
 }
 
-/// Guards against shares whose sum differs from the limit.
+/// Checks that the sum of the shares equals the limit.
 #[test]
 fn shares_add_up_to_the_limit() {
     for gateways in [1, 2, 6, 63, 340] {
@@ -321,7 +322,7 @@
 }
 
 proptest! {
-    /// Guards against a bucket that grants more tokens than have accrued.
+    /// Checks that a bucket grants no more tokens than have accrued.
     #[test]
     fn buckets_grant_no_more_than_accrued(
         steps in prop::collection::vec((0u64..800, 0.0f64..20.0, any::<bool>()), 1..80),
--- a/crates/gateway/tests/quota_pool.rs
+++ b/crates/gateway/tests/quota_pool.rs
@@ -1,5 +1,5 @@
-//! Quotas that gateways give out together: within the bound for any schedule, and
-//! of full use where gateways hear each other.
+//! Quotas shared by many gateways: the bound holds for any schedule, and the quota is fully used
+//! while gateways receive each other's reports.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -35,7 +35,7 @@
     registry
 }
 
-/// A report on its way.
+/// A report in transit.
 struct SentReport {
     arrives: Duration,
     from: usize,
@@ -55,17 +55,17 @@
     received_at: Vec<Option<Duration>>,
 }
 
-/// Gateways in simulated time that tell each other what they charged.
+/// Gateways in simulated time that report their charges to each other.
 struct Fleet {
     started_at: Instant,
     now: Duration,
     limit: (f64, f64),
     gateways: Vec<Gateway>,
     sent: VecDeque<SentReport>,
-    /// Reports lost, of a hundred.
+    /// Percentage of reports that are lost.
     loss: u32,
     draw: fastrand::Rng,
-    /// What was let run, and when.
+    /// Time and cost of each granted request.
     runs: VecDeque<(Duration, u64)>,
     rejected: u64,
     requests: u64,
@@ -143,8 +143,8 @@
         }
     }
 
-    /// One step: reports arrive, `arrivals` requests come at gateways drawn by
-    /// `at`, reports go out.
+    /// Simulates one step: delivers reports, sends `arrivals` requests to gateways chosen by `at`,
+    /// and sends reports.
     fn step(&mut self, arrivals: usize, at: impl Fn(&mut fastrand::Rng, usize) -> usize) {
         self.now += STEP;
         let now = self.started_at + self.now;
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The most that ran in any window so far.
+    /// Returns the maximum number of units granted in any window so far.
     fn max_in_window(&self) -> u64 {
         let mut max_units = 0;
         let mut sum = 0;
@@ -227,22 +227,22 @@
     }
 }
 
-/// When a case's trouble begins, in seconds.
+/// When the disturbance of a case starts, in seconds.
 const DISTURBANCE_AT: u32 = 6;
-/// After this long without a report a gateway no longer counts as heard.
+/// A peer without a report for this long does not count as live.
 const PEER_TIMEOUT: Duration = Duration::from_secs(1);
 
 fn bound(rate: f64, burst: f64) -> f64 {
     (rate * WINDOW.as_secs_f64() + burst) * (1.0 + OVERAGE) + SLACK
 }
 
-/// What disturbs a fleet under a hot organisation.
+/// A disturbance of the fleet while one organisation exceeds its quota.
 #[derive(Clone, Copy, PartialEq)]
 enum Disturbance {
     None,
-    /// All start anew at this moment.
+    /// All gateways restart at the same time.
     AllRestart,
-    /// A third hears nobody and is not heard.
+    /// A third of the gateways neither sends nor receives reports.
     ThirdPartitioned,
     /// The limit falls to a tenth.
     LimitFalls,
@@ -253,21 +253,21 @@
     gateways: usize,
     seconds: u32,
     loss: u32,
-    /// Requests in each step; the limit allows one each 30 ms.
+    /// Requests in each step; the limit allows one every 30 ms.
     arrivals: usize,
-    /// True where all come at one gateway.
+    /// True when all requests arrive at one gateway.
     is_skewed: bool,
     disturbance: Disturbance,
-    /// The least part of the allowance that has to be used.
+    /// Minimum fraction of the quota that must be used.
     min_use: f64,
 }
 
-/// Guards against an organisation that sends many times its usual and gets more
-/// than its quota, or far less, from gateways that only hear of each other.
+/// Checks that an organisation that sends many times its usual load gets no more than its quota,
+/// and not far less. Gateways know each other's charges only from reports.
 #[test]
 fn a_hot_organisation_gets_its_quota_and_no_more() {
     let stable = HotCase {
-        name: "calm",
+        name: "stable",
         gateways: 63,
         seconds: 14,
         loss: 0,
@@ -284,7 +284,7 @@
         HotCase { name: "reports are lost", loss: 30, ..stable },
         HotCase { name: "restart", disturbance: Disturbance::AllRestart, ..stable },
         HotCase {
-            name: "a third is cut off",
+            name: "a third is partitioned",
             disturbance: Disturbance::ThirdPartitioned,
             min_use: 0.6,
             ..stable
@@ -341,8 +341,8 @@
     }
 }
 
-/// Guards against requests within their limit that are refused since gateways
-/// guess what others give out.
+/// Checks that requests within the limit are not rejected, although gateways only estimate what
+/// their peers grant.
 #[test]
 fn nothing_within_the_limit_is_refused() {
     for gateways in [6, 63, 195] {
@@ -350,7 +350,7 @@
         // 0.9 of the rate, at any gateway.
         for step in 0..20 * 200 {
             if step == 200 {
-                // From here on all have heard each other.
+                // From here on, all gateways have received reports of all peers.
                 fleet.rejected = 0;
             }
             fleet.step(usize::from(step % 20 < 3), |draw, count| draw.usize(..count));
@@ -362,8 +362,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(60))]
 
-    /// Guards against any order of arrivals, losses, restarts, cuts and falling
-    /// limits in which more runs than the bound.
+    /// Checks that no order of arrivals, lost reports, restarts and partitions lets more run than
+    /// the bound.
     #[test]
     fn the_bound_holds_for_any_schedule(
         seed in any::<u64>(),
--- a/crates/gateway/tests/server_limits.rs
+++ b/crates/gateway/tests/server_limits.rs
@@ -1,4 +1,4 @@
-//! Tracking of the rate limits that servers state in their answers.
+//! Tracking of the rate limits that servers state in their responses.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -14,14 +14,14 @@
     RequestRate::new(per_second).expect("a rate")
 }
 
-/// An answer with the limit it states; times are offsets from the start of the test.
+/// A response with the limit that it states. Times are offsets from the start of the test.
 struct Response {
     sent_ms: u64,
     received_ms: u64,
     stated: StatedLimit,
 }
 
-/// Guards against an out-of-order or unreadable answer lifting a limit.
+/// Checks that a response that is out of order or has an unreadable limit does not lift a limit.
 #[test]
 fn answers_update_the_limit() {
     struct Case {
@@ -50,7 +50,7 @@
             limit: None,
         },
         Case {
-            name: "late answer to an earlier request",
+            name: "late response to an earlier request",
             responses: vec![response(0, 10, four), response(5, 30, StatedLimit::None)],
             limit: Some(4.0),
         },
@@ -77,8 +77,8 @@
     }
 }
 
-/// Guards against unbounded growth of the table, and against losing the limit of a server
-/// whose row has only lapsed.
+/// Checks that the table does not grow without bound, and that the limit of a server whose row has
+/// only expired for a short time is kept.
 #[test]
 fn limits_of_unlisted_servers_expire() {
     let start = Instant::now();
@@ -92,7 +92,7 @@
     assert!(limits.is_empty());
 }
 
-/// Guards against a report that arrives out of order replacing a newer limit.
+/// Checks that a report that arrives out of order does not replace a newer limit.
 #[test]
 fn reports_apply_the_newest_limit() {
     struct Case {
@@ -129,8 +129,8 @@
     }
 }
 
-/// Guards against reports that exceed the datagram size when hundreds of servers state
-/// limits, and against limits that are never reported.
+/// Checks that reports do not exceed their part of the datagram when hundreds of servers state
+/// limits, and that every limit is reported eventually.
 #[test]
 fn reports_of_many_limits_fit_and_cover_all() {
     const SERVERS: u64 = 890;
