--- a/crates/gateway/src/cluster/quota_account.rs
+++ b/crates/gateway/src/cluster/quota_account.rs
@@ -250,10 +250,10 @@
 
     /// Returns how long it takes until `units` more have left the window.
     fn time_to_expiry(&self, units: f64, now: Instant, view: &QuotaView) -> Duration {
-        let mut freed = 0.0;
+        let mut expiring = 0.0;
         for slot in &self.slots {
-            freed += slot.units;
-            if freed >= units {
+            expiring += slot.units;
+            if expiring >= units {
                 let expires_at = slot.started_at + view.window + SLOT;
                 return expires_at.saturating_duration_since(now);
             }
--- a/crates/gateway/tests/server_limits.rs
+++ b/crates/gateway/tests/server_limits.rs
@@ -145,10 +145,10 @@
         sender.record_response(u64::MAX - server, stated, now, now);
     }
     for _ in 0..REPORTS {
-        let update = sender.updates(true, later);
-        let bytes = postcard::to_allocvec(&update).expect("plain fields").len();
+        let updates = sender.updates(true, later);
+        let bytes = postcard::to_allocvec(&updates).expect("plain fields").len();
         assert!(bytes <= MAX_BYTES, "{bytes} bytes of limits");
-        for limit in update {
+        for limit in updates {
             receiver.apply_peer_limit(limit, later);
         }
     }
