--- a/crates/gateway/src/cluster/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits that servers state in their answers.
+//! Rate limits that servers state in their responses.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -11,22 +11,22 @@
 use crate::model::ServerIncarnation;
 use crate::model::StatedLimit;
 
-/// How long a changed limit is eligible for every report.
-const CHANGE_TOLD_FOR: Duration = Duration::from_secs(3);
+/// How long every report includes a changed limit, unless there are more than [`MAX_REPORTED`].
+const REPORT_WINDOW: Duration = Duration::from_secs(3);
 
-/// Maximum number of limits in a report; they take up at most a quarter of a datagram.
-const MAX_TOLD: usize = 96;
+/// Maximum number of limits in a report; they occupy at most a quarter of a datagram.
+const MAX_REPORTED: usize = 96;
 
 /// The last known limit of one server incarnation.
 #[derive(Debug)]
 struct ServerLimit {
     /// `None` after the limit was lifted.
     rate: Option<RequestRate>,
-    /// When the last answer that set `rate` arrived, here or at another gateway.
+    /// When the last response that set `rate` arrived, here or at a peer.
     updated_at: Instant,
     /// When the value of `rate` last changed at this gateway.
     changed_at: Instant,
-    /// Requests that this gateway may send, at its share of `rate`.
+    /// Limits the requests of this gateway to its share of `rate`.
     bucket: TokenBucket,
 }
 
@@ -44,13 +44,13 @@
 }
 
 impl ServerLimits {
-    /// Applies the limit stated by an answer to a request sent at `sent_at`, and returns
-    /// the change, if any.
+    /// Applies the limit stated by a response to a request sent at `sent_at`, and returns the
+    /// change, if any.
     ///
-    /// An answer without a limit lifts a known one only if its request was sent after
-    /// the last update. This keeps an answer that was generated before the limit was
-    /// stated, but arrives later, from lifting it.
-    pub fn note_answer(
+    /// A response without a limit lifts a known one only if its request was sent after the last
+    /// update. This prevents a response that was generated before the limit was stated, but
+    /// arrives later, from lifting it.
+    pub fn record_response(
         &mut self,
         server: ServerIncarnation,
         stated: StatedLimit,
@@ -71,34 +71,39 @@
         self.set(server, after, now, now)
     }
 
-    /// Applies a limit reported by another gateway unless a newer one is known, and returns
-    /// the change, if any.
-    pub fn hear(&mut self, news: LimitUpdate, now: Instant) -> Option<ServerLimitChange> {
-        let age = Duration::from_millis(u64::from(news.age_ms));
+    /// Applies a limit reported by a peer unless a newer one is known, and returns the change, if
+    /// any.
+    pub fn apply_peer_limit(
+        &mut self,
+        update: LimitUpdate,
+        now: Instant,
+    ) -> Option<ServerLimitChange> {
+        let age = Duration::from_millis(u64::from(update.age_ms));
         let updated_at = now.checked_sub(age)?;
         let is_newer =
-            self.limits.get(news.server).is_none_or(|known| known.updated_at < updated_at);
+            self.limits.get(update.server).is_none_or(|known| known.updated_at < updated_at);
         if !is_newer {
             return None;
         }
-        self.set(news.server, news.rate, updated_at, now)
+        self.set(update.server, update.rate, updated_at, now)
     }
 
-    /// The limits that a report includes: recent changes, or with `tells_all` every entry,
-    /// lifted limits included. If there are more than [`MAX_TOLD`], a random sample.
-    pub fn news(&self, tells_all: bool, now: Instant) -> Vec<LimitUpdate> {
+    /// Returns the limits that a report includes: recent changes, or with `reports_all` every
+    /// entry, lifted limits included. If there are more than [`MAX_REPORTED`], returns a random
+    /// sample.
+    pub fn updates(&self, reports_all: bool, now: Instant) -> Vec<LimitUpdate> {
         let is_recent =
-            |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < CHANGE_TOLD_FOR;
-        let told = self.limits.iter().filter(|(_, limit)| tells_all || is_recent(limit));
-        let news = told.map(|(server, limit)| {
+            |limit: &ServerLimit| now.saturating_duration_since(limit.changed_at) < REPORT_WINDOW;
+        let reported = self.limits.iter().filter(|(_, limit)| reports_all || is_recent(limit));
+        let updates = reported.map(|(server, limit)| {
             let age = now.saturating_duration_since(limit.updated_at);
             let age_ms = u32::try_from(age.as_millis()).unwrap_or(u32::MAX);
             LimitUpdate { server, rate: limit.rate, age_ms }
         });
-        sample(news.collect(), MAX_TOLD)
+        sample(updates.collect(), MAX_REPORTED)
     }
 
-    /// The last known limit of `server`; `None` if it never stated one or lifted it.
+    /// Returns the last known limit of `server`; `None` if it never stated one or lifted it.
     pub fn limit(&self, server: ServerIncarnation) -> Option<RequestRate> {
         self.limits.get(server)?.rate
     }
@@ -110,12 +115,12 @@
         }
     }
 
-    /// True when the limit of `server` allows this gateway a request now.
+    /// Returns true when the limit of `server` allows this gateway a request now.
     pub fn may_send(&self, server: ServerIncarnation, now: Instant) -> bool {
-        self.limit_in_force(server).is_none_or(|limit| limit.bucket.has_token(now))
+        self.active_limit(server).is_none_or(|limit| limit.bucket.has_token(now))
     }
 
-    /// Takes a token for a request that is about to be sent to `server`; false when its
+    /// Takes a token for a request that is about to be sent to `server`. Returns false when its
     /// limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         match self.limits.get_mut(server) {
@@ -124,10 +129,10 @@
         }
     }
 
-    /// When this gateway may send the next request to `server`; `None` when it has no share
-    /// of the limit.
+    /// Returns when this gateway may send the next request to `server`; `None` when it has no
+    /// share of the limit.
     pub fn next_send_at(&self, server: ServerIncarnation, now: Instant) -> Option<Instant> {
-        self.limit_in_force(server).map_or(Some(now), |limit| limit.bucket.next_token_at(now))
+        self.active_limit(server).map_or(Some(now), |limit| limit.bucket.next_token_at(now))
     }
 
     /// Removes servers that have been unlisted for the retention period of the table.
@@ -135,22 +140,22 @@
         self.limits.tick(is_listed, now);
     }
 
-    /// Servers whose limit is in force.
-    pub fn in_force(&self) -> usize {
+    /// Returns the number of servers whose limit is in force.
+    pub fn active_count(&self) -> usize {
         self.limits.iter().filter(|(_, limit)| limit.rate.is_some()).count()
     }
 
-    /// The number of servers in the table, including those whose limit was lifted.
+    /// Returns the number of servers in the table, including those whose limit was lifted.
     pub fn len(&self) -> usize {
         self.limits.len()
     }
 
-    /// True when the table is empty.
+    /// Returns true when no server has stated a limit.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
 
-    fn limit_in_force(&self, server: ServerIncarnation) -> Option<&ServerLimit> {
+    fn active_limit(&self, server: ServerIncarnation) -> Option<&ServerLimit> {
         self.limits.get(server).filter(|limit| limit.rate.is_some())
     }
 
--- a/crates/gateway/src/forward/quota_charge.rs
+++ b/crates/gateway/src/forward/quota_charge.rs
@@ -37,7 +37,7 @@
     /// Refunds the charge of a request that has certainly not run at any server.
     pub fn refund(&self) {
         if self.phase.swap(REFUNDED, Ordering::AcqRel) != REFUNDED {
-            self.state.quotas.give_back(self.organisation, self.cost);
+            self.state.quotas.refund(self.organisation, self.cost);
         }
     }
 }
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -99,9 +99,9 @@
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
     // statement ends, so a second call in the same statement would deadlock.
     let loads = state.fleet().local_loads_for_peers();
-    let limits = state.fleet().limits.news(true, now);
+    let limits = state.fleet().limits.updates(true, now);
     let departures = state.fleet().departures.updates(true, now);
-    let charges = state.quotas.recent_news();
+    let charges = state.quotas.recent_updates();
     let outcomes = state.quarantines.updates(true);
     LoadReport {
         reach: PeerReach::Far,
@@ -136,7 +136,7 @@
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
     let store_calm = state.fleet().store_stable_duration(now);
-    let limits = state.fleet().limits.news(is_full, now);
+    let limits = state.fleet().limits.updates(is_full, now);
     let departures = state.fleet().departures.updates(is_full, now);
     let backoffs = state.fleet().backoff_updates(is_full, newcomers, now);
     LoadReport {
@@ -153,7 +153,7 @@
         learned: is_full.then(|| state.own_learning()),
         config: state.config_version(),
         tables: state.readings.notices(now),
-        charges: state.quotas.news(is_full),
+        charges: state.quotas.updates(is_full),
         age_ms: state.age().as_millis() as u64,
         outcomes: state.quarantines.updates(is_full),
         limits,
@@ -247,7 +247,7 @@
         let digest = server_digest(&report.peer);
         let view = state.quota_view();
         let age = Duration::from_millis(report.age_ms);
-        state.quotas.hear(digest, report.incarnation, age, &report.charges, &view);
+        state.quotas.apply_peer_charges(digest, report.incarnation, age, &report.charges, &view);
     }
     state.fleet().peers.record(&report.peer, report.incarnation, report.sequence, update, now);
     if let Some(learned) = report.learned {
