--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -11,7 +11,7 @@
 use umberglade_router::operator::OperatorError;
 use umberglade_router::placement::Placement;
 use umberglade_router::platform::PlatformClient;
-use umberglade_router::settings::DEFAULT_MEMBER_BEAT;
+use umberglade_router::settings::DEFAULT_HEARTBEAT_INTERVAL;
 use umberglade_router::settings::DEFAULT_PLATFORM_TIMEOUT;
 use umberglade_router::settings::DEFAULT_RECORD_RETENTION;
 use umberglade_router::settings::DaemonSettings;
@@ -117,7 +117,7 @@
             region: String::new(),
             incarnation: fastrand::u64(..),
             feed_wait: Duration::from_millis(500),
-            member_beat: DEFAULT_MEMBER_BEAT,
+            heartbeat_interval: DEFAULT_HEARTBEAT_INTERVAL,
             record_retention: DEFAULT_RECORD_RETENTION,
             platform_timeout: DEFAULT_PLATFORM_TIMEOUT,
             threads: 0,
--- a/crates/router/src/control/follower.rs
+++ b/crates/router/src/control/follower.rs
@@ -14,12 +14,12 @@
 use crate::platform::TableFeed;
 
 /// Pause after a first failed read, before jitter; doubled for each next.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 /// The longest pause, before jitter: 340 daemons with two feeds each then
 /// ask a platform that is down about 450 times a second, a quarter of what
 /// it takes when well, and a change is still in force within seconds of
 /// its return.
-const MAX_PAUSE: Duration = Duration::from_millis(1600);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(1600);
 
 /// Keeps a [`ControlState`] in step with the platform.
 #[derive(Debug, Clone)]
@@ -41,17 +41,17 @@
         self.follow_instances(&mut instances, Duration::ZERO).await;
         let follower = self.clone();
         pool::spawn(async move {
-            let mut failures = FailureRun::default();
+            let mut failures = FeedBackoff::default();
             loop {
                 let read = follower.follow_table(&mut table, follower.feed_wait).await;
-                failures.pause_after(read).await;
+                failures.wait_after(read).await;
             }
         });
         pool::spawn(async move {
-            let mut failures = FailureRun::default();
+            let mut failures = FeedBackoff::default();
             loop {
                 let read = self.follow_instances(&mut instances, self.feed_wait).await;
-                failures.pause_after(read).await;
+                failures.wait_after(read).await;
             }
         });
     }
@@ -60,7 +60,7 @@
     async fn follow_table(&self, feed: &mut TableFeed, wait: Duration) -> bool {
         let page = match feed.next(wait).await {
             Ok(page) => page,
-            Err(error) => return report_failure("control table", &error),
+            Err(error) => return log_failure("control table", &error),
         };
         self.state.update(|snapshot| {
             for row in &page.rows {
@@ -75,7 +75,7 @@
     async fn follow_instances(&self, feed: &mut InstanceFeed, wait: Duration) -> bool {
         let list = match feed.next(wait).await {
             Ok(list) => list,
-            Err(error) => return report_failure("instance list", &error),
+            Err(error) => return log_failure("instance list", &error),
         };
         self.state.update(|snapshot| {
             snapshot.apply_instances(list);
@@ -86,26 +86,26 @@
 }
 
 /// Logs a failed read; always false.
-fn report_failure(what: &str, error: &WireError) -> bool {
+fn log_failure(what: &str, error: &WireError) -> bool {
     tracing::warn!(event = events::PLATFORM_UNREACHABLE, what, %error, "serving on what is in force");
     false
 }
 
 /// Failed reads in a row, and the pause they call for.
 #[derive(Debug, Default)]
-struct FailureRun {
+struct FeedBackoff {
     failures: u32,
 }
 
-impl FailureRun {
+impl FeedBackoff {
     /// Waits after a failed read, longer each time in a row and jittered,
     /// so that daemons do not come back to the platform all at once.
-    async fn pause_after(&mut self, succeeded: bool) {
+    async fn wait_after(&mut self, succeeded: bool) {
         if succeeded {
             self.failures = 0;
             return;
         }
-        let pause = (FIRST_PAUSE * 2u32.saturating_pow(self.failures)).min(MAX_PAUSE);
+        let pause = (MIN_RETRY_DELAY * 2u32.saturating_pow(self.failures)).min(MAX_RETRY_DELAY);
         self.failures = (self.failures + 1).min(8);
         smol::Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
     }
--- a/crates/router/src/control/server_slot.rs
+++ b/crates/router/src/control/server_slot.rs
@@ -28,8 +28,8 @@
 
 impl InFlightGuard {
     /// The prompt was computed: its tokens no longer wait there.
-    pub fn tokens_done(&mut self) {
-        self.counters.finish_tokens(self.tokens);
+    pub fn finish_prefill(&mut self) {
+        self.counters.release_tokens(self.tokens);
         self.tokens = 0;
     }
 }
@@ -47,7 +47,7 @@
     }
 
     /// A slot for `entry`, the same server as `previous`.
-    pub fn carried(entry: InstanceEntry, previous: &ServerSlot) -> Self {
+    pub fn with_entry(entry: InstanceEntry, previous: &ServerSlot) -> Self {
         ServerSlot { entry, counters: Arc::clone(&previous.counters) }
     }
 
@@ -58,7 +58,7 @@
 
     /// Prompt tokens this daemon has waiting on the server now.
     pub fn queued_tokens(&self) -> u64 {
-        self.counters.own_queued_tokens()
+        self.counters.local_queued_tokens()
     }
 
     /// Counts one more request with `tokens` of prompt to compute in
@@ -79,18 +79,18 @@
     }
 
     /// The server answered: it is well.
-    pub fn succeeded(&self) {
-        self.counters.succeeded();
+    pub fn record_success(&self) {
+        self.counters.record_success();
     }
 
     /// The server failed a step or refused one: it gets no new work for a
     /// while, longer each time in a row.
-    pub fn failed(&self) {
-        self.counters.failed();
+    pub fn record_failure(&self) {
+        self.counters.record_failure();
     }
 
     /// True while the server is set aside after failures.
-    pub fn is_set_aside(&self) -> bool {
-        self.counters.is_set_aside()
+    pub fn is_ejected(&self) -> bool {
+        self.counters.is_ejected()
     }
 }
--- a/crates/router/src/control/snapshot.rs
+++ b/crates/router/src/control/snapshot.rs
@@ -186,7 +186,7 @@
                 continue;
             }
             servers.push(match previous {
-                Some(slot) => Arc::new(ServerSlot::carried(entry, slot)),
+                Some(slot) => Arc::new(ServerSlot::with_entry(entry, slot)),
                 None => Arc::new(ServerSlot::new(entry)),
             });
         }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -26,7 +26,7 @@
 use crate::settings::DaemonSettings;
 
 /// How long a stop waits at most for requests in flight to finish.
-pub const DRAIN_LIMIT: Duration = Duration::from_secs(60);
+pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The daemon; cheap to clone, all clones share one state.
 #[derive(Debug)]
@@ -50,15 +50,15 @@
     pub(crate) placement: P,
     pub(crate) metrics: Option<PrometheusHandle>,
     pub(crate) budget: RetryBudget,
-    pub(crate) pace: PrefillTimeEstimator,
+    pub(crate) prefill_times: PrefillTimeEstimator,
     pub(crate) ledger: IdempotencyLedger,
-    rooms: Mutex<HashMap<ModelName, Arc<AdmissionQueue>>>,
+    queues: Mutex<HashMap<ModelName, Arc<AdmissionQueue>>>,
     /// Requests admitted and not yet answered in full.
     in_flight: AtomicU32,
     next_sequence: AtomicU64,
     /// The fence this daemon held when an engine refused it as old; 0 for
     /// never.
-    fenced_off_at: AtomicU64,
+    rejected_fence: AtomicU64,
     /// Set when a graceful stop begins; new work is refused from then on.
     draining: AtomicBool,
 }
@@ -94,12 +94,12 @@
             placement,
             metrics,
             budget: RetryBudget::default(),
-            pace: PrefillTimeEstimator::default(),
+            prefill_times: PrefillTimeEstimator::default(),
             ledger,
-            rooms: Mutex::new(HashMap::new()),
+            queues: Mutex::new(HashMap::new()),
             in_flight: AtomicU32::new(0),
             next_sequence: AtomicU64::new(0),
-            fenced_off_at: AtomicU64::new(0),
+            rejected_fence: AtomicU64::new(0),
             draining: AtomicBool::new(false),
         };
         Daemon { shared: Arc::new(shared) }
@@ -122,15 +122,19 @@
     /// when this daemon alone is cut off from the platform: its health
     /// check fails, and callers go to daemons that have the newer one,
     /// until it has caught up.
-    pub(crate) fn fenced_off(&self, fence: Fence) {
-        if self.shared.fenced_off_at.swap(fence, Ordering::AcqRel) != fence {
-            tracing::error!(event = events::DAEMON_FENCED_OFF, fence, "a newer preset is in force");
+    pub(crate) fn record_stale_fence(&self, fence: Fence) {
+        if self.shared.rejected_fence.swap(fence, Ordering::AcqRel) != fence {
+            tracing::error!(
+                event = events::DAEMON_FENCE_STALE,
+                fence,
+                "a newer preset is in force"
+            );
         }
     }
 
     /// True while this daemon is known to hold an old preset.
-    pub fn is_fenced_off(&self) -> bool {
-        let at = self.shared.fenced_off_at.load(Ordering::Acquire);
+    pub fn has_stale_fence(&self) -> bool {
+        let at = self.shared.rejected_fence.load(Ordering::Acquire);
         at > 0 && self.shared.control.current().fence <= at
     }
 
@@ -146,8 +150,8 @@
 
     /// Waits until nothing is in flight or `limit` has passed; true when
     /// all finished.
-    pub async fn drained(&self, limit: Duration) -> bool {
-        let deadline = Instant::now() + limit;
+    pub async fn wait_until_drained(&self, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         while self.in_flight() > 0 {
             if Instant::now() >= deadline {
                 return false;
@@ -159,7 +163,7 @@
 
     /// Counts one request in flight; the count before it, and the guard
     /// that gives it back.
-    pub(crate) fn enter(&self) -> (u32, AdmissionGuard<P>) {
+    pub(crate) fn begin_request(&self) -> (u32, AdmissionGuard<P>) {
         let before = self.shared.in_flight.fetch_add(1, Ordering::AcqRel);
         (before, AdmissionGuard { daemon: self.clone() })
     }
@@ -178,17 +182,17 @@
 
     /// The waiting room of `model`. Call only for models that have
     /// servers: a room is kept for good.
-    pub(crate) fn room(&self, model: &str) -> Arc<AdmissionQueue> {
-        let mut rooms = self.shared.rooms.lock().expect("rooms lock");
-        if let Some(room) = rooms.get(model) {
-            return Arc::clone(room);
+    pub(crate) fn queue(&self, model: &str) -> Arc<AdmissionQueue> {
+        let mut queues = self.shared.queues.lock().expect("queues lock");
+        if let Some(queue) = queues.get(model) {
+            return Arc::clone(queue);
         }
-        Arc::clone(rooms.entry(model.to_owned()).or_default())
+        Arc::clone(queues.entry(model.to_owned()).or_default())
     }
 
     /// Requests waiting for room now, all models.
     pub fn waiting(&self) -> usize {
-        let rooms = self.shared.rooms.lock().expect("rooms lock");
-        rooms.values().map(|room| room.len()).sum()
+        let queues = self.shared.queues.lock().expect("queues lock");
+        queues.values().map(|queue| queue.len()).sum()
     }
 }
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -57,7 +57,7 @@
             let body = Bytes::from_static(b"draining\n");
             return reply::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
         }
-        if self.is_fenced_off() {
+        if self.has_stale_fence() {
             let body = Bytes::from_static(b"behind the preset in force\n");
             return reply::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
         }
@@ -102,7 +102,7 @@
         if self.is_draining() || preset.refuse_new_work {
             return Err(unavailable("maintenance", "not taking new work"));
         }
-        let (in_flight_before, guard) = self.enter();
+        let (in_flight_before, guard) = self.begin_request();
         if in_flight_before >= preset.max_in_flight {
             return Err(reject(
                 StatusCode::TOO_MANY_REQUESTS,
--- a/crates/router/src/front/rejection.rs
+++ b/crates/router/src/front/rejection.rs
@@ -10,7 +10,7 @@
 /// The default `Retry-After` of rejections, in seconds.
 pub(crate) const RETRY_AFTER_S: u64 = 1;
 
-/// Returns a rejection and logs it as [`events::REQUEST_REFUSED`]. 429 and 503 guarantee that the
+/// Returns a rejection and logs it as [`events::REQUEST_REJECTED`]. 429 and 503 guarantee that the
 /// request was not run.
 pub(crate) fn reject(
     status: StatusCode,
@@ -19,7 +19,7 @@
     retry_after_s: Option<u64>,
 ) -> Response<ReplyBody> {
     tracing::info!(
-        event = events::REQUEST_REFUSED,
+        event = events::REQUEST_REJECTED,
         status = status.as_u16(),
         kind,
         message,
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -24,9 +24,9 @@
 /// Claims before giving up on a key that keeps changing under us.
 const CLAIM_ATTEMPTS: usize = 3;
 /// Tries to settle a claim whose outcome the platform never told.
-const SETTLE_ATTEMPTS: u32 = 12;
+const RELEASE_ATTEMPTS: u32 = 12;
 /// The pause before the first of them; each next one is longer.
-const SETTLE_PAUSE: Duration = Duration::from_millis(500);
+const RELEASE_DELAY: Duration = Duration::from_millis(500);
 
 /// What a claim on a key came to.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -95,7 +95,7 @@
                 }
                 Ok(WriteOutcome::Conflict { .. }) => continue,
                 Err(error) => {
-                    self.settle_later(record_key, started);
+                    self.release_unconfirmed(record_key, started);
                     return Err(error);
                 }
             }
@@ -128,12 +128,12 @@
     /// Guards against a key stuck for good: the platform went down between
     /// our write and its reply, the caller was refused ("not run"), and
     /// its retry would find a claim that nobody will ever finish.
-    fn settle_later(&self, record_key: &str, started: IdempotencyRecord) {
+    fn release_unconfirmed(&self, record_key: &str, started: IdempotencyRecord) {
         let ledger = self.clone();
         let record_key = record_key.to_owned();
         pool::spawn(async move {
-            for attempt in 1..=SETTLE_ATTEMPTS {
-                smol::Timer::after(SETTLE_PAUSE * attempt).await;
+            for attempt in 1..=RELEASE_ATTEMPTS {
+                smol::Timer::after(RELEASE_DELAY * attempt).await;
                 if ledger.release(&record_key, &started).await.is_ok() {
                     return;
                 }
--- a/crates/router/src/duty/sweeper.rs
+++ b/crates/router/src/leader/cleaner.rs
@@ -14,14 +14,14 @@
 use crate::platform::PlatformClient;
 
 /// Records looked at in one step: one read, and one write at most.
-const STEP_ROWS: usize = 100;
+const BATCH_ROWS: usize = 100;
 /// Steps of one round; with a round each beat (5 s), 60 records a second
 /// are looked at.
-const ROUND_STEPS: usize = 3;
+const BATCHES_PER_ROUND: usize = 3;
 
 /// Goes round the records a step at a time.
 #[derive(Debug)]
-pub struct RecordSweeper {
+pub struct RecordCleaner {
     platform: PlatformClient,
     /// How long a record outlives its last write. A retry that comes later
     /// is taken for a new call.
@@ -30,16 +30,16 @@
     cursor: String,
 }
 
-impl RecordSweeper {
+impl RecordCleaner {
     /// A sweeper at the start of the table.
     pub fn new(platform: PlatformClient, retention: Duration) -> Self {
-        RecordSweeper { platform, retention, cursor: String::new() }
+        RecordCleaner { platform, retention, cursor: String::new() }
     }
 
     /// One round: some steps, until the end of the table.
-    pub async fn round(&mut self) {
-        for _ in 0..ROUND_STEPS {
-            if let Err(error) = self.step().await {
+    pub async fn run_round(&mut self) {
+        for _ in 0..BATCHES_PER_ROUND {
+            if let Err(error) = self.clean_batch().await {
                 tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "idempotency records", %error, "not swept");
                 return;
             }
@@ -52,13 +52,13 @@
     /// Looks at the next records and removes the old ones. A record that
     /// moved on meanwhile makes the removal fail as a whole: it is met
     /// again on the next way round.
-    async fn step(&mut self) -> Result<(), WireError> {
-        let list = self.platform.list_from(IDEMPOTENCY_TABLE, &self.cursor, STEP_ROWS).await?;
+    async fn clean_batch(&mut self) -> Result<(), WireError> {
+        let list = self.platform.list_from(IDEMPOTENCY_TABLE, &self.cursor, BATCH_ROWS).await?;
         self.cursor = next_cursor(&list);
         let rows: Vec<RowRemoval> = list
             .rows
             .iter()
-            .filter(|row| self.is_old(row, list.now_ms))
+            .filter(|row| self.is_expired(row, list.now_ms))
             .map(|row| RowRemoval { key: row.key.clone(), version: row.version })
             .collect();
         if rows.is_empty() {
@@ -67,7 +67,7 @@
         let count = rows.len();
         match self.platform.remove_all(IDEMPOTENCY_TABLE, &RowRemovals { rows }).await {
             Ok(()) => {
-                tracing::info!(event = events::RECORDS_SWEPT, count, "old records removed");
+                tracing::info!(event = events::RECORDS_REMOVED, count, "old records removed");
                 Ok(())
             }
             Err(error) if error.status() == Some(409) => Ok(()),
@@ -76,7 +76,7 @@
     }
 
     /// Whether `row` is past its retention, by the table service's clock.
-    fn is_old(&self, row: &Row, now_ms: u64) -> bool {
+    fn is_expired(&self, row: &Row, now_ms: u64) -> bool {
         now_ms.saturating_sub(row.written_ms) >= self.retention.as_millis() as u64
     }
 }
@@ -85,7 +85,7 @@
 /// page.
 fn next_cursor(list: &RowList) -> String {
     match list.rows.last() {
-        Some(last) if list.rows.len() == STEP_ROWS => format!("{}\u{1}", last.key),
+        Some(last) if list.rows.len() == BATCH_ROWS => format!("{}\u{1}", last.key),
         _ => String::new(),
     }
 }
--- a/crates/router/src/duty/keeper.rs
+++ b/crates/router/src/leader/controller.rs
@@ -14,8 +14,8 @@
 use umberglade_wire::engine::OrderReply;
 use umberglade_wire::platform::InstanceState;
 
-use super::DutyLease;
-use super::RecordSweeper;
+use super::LeaderLease;
+use super::RecordCleaner;
 use crate::control::ControlState;
 use crate::control::ServerSlot;
 use crate::events;
@@ -23,32 +23,32 @@
 /// Bound on reading a report and on sending an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
 /// A daemon that does not hold the duty looks at it each so many beats.
-const BEATS_PER_LOOK: u32 = 2;
+const HEARTBEATS_PER_CHECK: u32 = 2;
 
 /// Holds or contends for the duty and acts on it.
 #[derive(Debug)]
-pub struct DutyKeeper {
-    pub lease: DutyLease,
-    pub sweeper: RecordSweeper,
+pub struct LeaderController {
+    pub lease: LeaderLease,
+    pub cleaner: RecordCleaner,
     pub control: Arc<ControlState>,
     pub daemon: String,
     /// How often the holder renews and acts.
-    pub beat: Duration,
+    pub interval: Duration,
 }
 
-impl DutyKeeper {
+impl LeaderController {
     /// Keeps until the process ends.
     pub async fn run(mut self) {
         loop {
-            if let Err(error) = self.lease.contend().await {
+            if let Err(error) = self.lease.acquire_or_renew().await {
                 tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "duty", %error, "duty not renewed");
             }
             if self.lease.is_held() {
                 self.order_roles().await;
-                self.sweeper.round().await;
+                self.cleaner.run_round().await;
             }
-            let beats = if self.lease.is_held() { 1 } else { BEATS_PER_LOOK };
-            smol::Timer::after(self.beat * beats).await;
+            let intervals = if self.lease.is_held() { 1 } else { HEARTBEATS_PER_CHECK };
+            smol::Timer::after(self.interval * intervals).await;
         }
     }
 
@@ -63,7 +63,7 @@
                 continue;
             }
             if let Err(error) = self.order_role(slot, wanted.role).await {
-                tracing::warn!(event = events::STEP_FAILED, server = %slot.entry.server, %error, "role order failed");
+                tracing::warn!(event = events::SERVER_STEP_FAILED, server = %slot.entry.server, %error, "role order failed");
             }
         }
     }
--- a/crates/router/src/duty/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -17,23 +17,23 @@
 
 /// The duty as held by this daemon.
 #[derive(Debug, Clone, Copy)]
-struct HeldDuty {
+struct HeldLease {
     fence: Fence,
-    /// When the write that renewed it was begun.
-    begun: Instant,
+    /// When the write that renewed it was started_at.
+    started_at: Instant,
 }
 
 /// This daemon's part in the duty.
 #[derive(Debug)]
-pub struct DutyLease {
+pub struct LeaderLease {
     platform: PlatformClient,
     daemon: DaemonId,
     incarnation: u64,
     lease: Duration,
-    held: Option<HeldDuty>,
+    held: Option<HeldLease>,
 }
 
-impl DutyLease {
+impl LeaderLease {
     /// A lease not held, lasting `lease` from each renewal.
     pub fn new(
         platform: PlatformClient,
@@ -41,7 +41,7 @@
         incarnation: u64,
         lease: Duration,
     ) -> Self {
-        DutyLease { platform, daemon, incarnation, lease, held: None }
+        LeaderLease { platform, daemon, incarnation, lease, held: None }
     }
 
     /// The fencing number to order under, while this daemon may order.
@@ -53,7 +53,7 @@
     /// take the duty.
     pub fn fence(&self) -> Option<Fence> {
         let held = self.held?;
-        (held.begun.elapsed() < self.lease * 2 / 3).then_some(held.fence)
+        (held.started_at.elapsed() < self.lease * 2 / 3).then_some(held.fence)
     }
 
     /// True while this daemon last saw itself as the holder.
@@ -62,46 +62,46 @@
     }
 
     /// Renews the duty if ours, takes it if lapsed, else leaves it.
-    pub async fn contend(&mut self) -> Result<(), WireError> {
-        let begun = Instant::now();
+    pub async fn acquire_or_renew(&mut self) -> Result<(), WireError> {
+        let started_at = Instant::now();
         let list = self.platform.list(DUTY_TABLE).await?;
         let row = list.rows.into_iter().find(|row| row.key == DUTY_KEY);
         let Some(row) = row else {
-            return self.write(0, begun).await;
+            return self.write(0, started_at).await;
         };
         let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
         let is_ours = serde_json::from_value::<DutyRecord>(row.value)
             .is_ok_and(|record| record == self.record());
         if is_ours || age >= self.lease {
-            return self.write(row.version, begun).await;
+            return self.write(row.version, started_at).await;
         }
-        self.lose();
+        self.mark_lost();
         Ok(())
     }
 
-    async fn write(&mut self, expect: RowVersion, begun: Instant) -> Result<(), WireError> {
+    async fn write(&mut self, expect: RowVersion, started_at: Instant) -> Result<(), WireError> {
         let outcome =
             self.platform.put_checked(DUTY_TABLE, DUTY_KEY, expect, &self.record()).await?;
         match outcome {
             WriteOutcome::Written(row) => {
                 if self.held.is_none() {
                     tracing::info!(
-                        event = events::DUTY_CHANGED,
+                        event = events::LEADER_CHANGED,
                         holds = true,
                         fence = row.version,
                         "duty taken"
                     );
                 }
-                self.held = Some(HeldDuty { fence: row.version, begun });
+                self.held = Some(HeldLease { fence: row.version, started_at });
             }
-            WriteOutcome::Conflict { .. } => self.lose(),
+            WriteOutcome::Conflict { .. } => self.mark_lost(),
         }
         Ok(())
     }
 
-    fn lose(&mut self) {
+    fn mark_lost(&mut self) {
         if self.held.take().is_some() {
-            tracing::info!(event = events::DUTY_CHANGED, holds = false, "duty lost");
+            tracing::info!(event = events::LEADER_CHANGED, holds = false, "duty lost");
         }
     }
 
--- a/crates/router/src/duty/mod.rs
+++ b/crates/router/src/leader/mod.rs
@@ -6,10 +6,10 @@
 //! election: a daemon takes the duty when the row is older than the lease
 //! by the service's own clock, with a conditional write only one can win.
 
-mod keeper;
+mod cleaner;
+mod controller;
 mod lease;
-mod sweeper;
 
-pub use self::keeper::DutyKeeper;
-pub use self::lease::DutyLease;
-pub use self::sweeper::RecordSweeper;
+pub use self::cleaner::RecordCleaner;
+pub use self::controller::LeaderController;
+pub use self::lease::LeaderLease;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -13,10 +13,10 @@
 pub mod admission;
 pub mod control;
 pub mod daemon;
-pub mod duty;
 pub mod events;
 pub mod front;
 pub mod idempotency;
+pub mod leader;
 pub mod membership;
 pub mod operator;
 pub mod pipeline;
--- a/crates/router/src/membership/beat.rs
+++ b/crates/router/src/membership/heartbeat.rs
@@ -19,13 +19,13 @@
 /// Beats between two reads of the whole table. At 340 daemons the table is
 /// some 70 KB: read each sixth beat it costs 2.3 KB a second, read at each
 /// it would take the whole control budget.
-const BEATS_PER_READ: u32 = 6;
+const HEARTBEATS_PER_READ: u32 = 6;
 /// A row this many leases old belongs to a daemon long gone.
-const GONE_LEASES: u32 = 20;
+const REMOVAL_AGE_LEASES: u32 = 20;
 
 /// Renews the membership of `daemon`, which serves at `addr`.
 #[derive(Debug)]
-pub struct MemberBeat<P> {
+pub struct Heartbeat<P> {
     pub daemon: Daemon<P>,
     pub platform: PlatformClient,
     /// Where the daemon listens.
@@ -35,26 +35,26 @@
     was_live: bool,
 }
 
-impl<P> MemberBeat<P> {
+impl<P> Heartbeat<P> {
     /// A beat that has not written yet.
     pub fn new(daemon: Daemon<P>, platform: PlatformClient, addr: String) -> Self {
-        MemberBeat { daemon, platform, addr, version: 0, was_live: false }
+        Heartbeat { daemon, platform, addr, version: 0, was_live: false }
     }
 
     /// Beats until the process ends.
     pub async fn run(mut self) {
-        let beat = self.daemon.shared.settings.member_beat;
-        let mut beats: u32 = 0;
+        let interval = self.daemon.shared.settings.heartbeat_interval;
+        let mut count: u32 = 0;
         loop {
             if let Err(error) = self.renew().await {
                 tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "member lease", %error, "lease not renewed");
             }
-            self.report_lease();
-            if beats.is_multiple_of(BEATS_PER_READ) {
+            self.log_lease_change();
+            if count.is_multiple_of(HEARTBEATS_PER_READ) {
                 self.read_members().await;
             }
-            beats += 1;
-            smol::Timer::after(jittered(beat)).await;
+            count += 1;
+            smol::Timer::after(jittered(interval)).await;
         }
     }
 
@@ -62,7 +62,7 @@
     /// between (ours, applied late, or an earlier run's): its version is
     /// read and the row written over it.
     async fn renew(&mut self) -> Result<(), WireError> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let record = self.record();
         let id = record.daemon.clone();
         let outcome = self.platform.put_checked(MEMBERS_TABLE, &id, self.version, &record).await?;
@@ -70,11 +70,11 @@
             WriteOutcome::Conflict { current_version } => {
                 self.platform.put_checked(MEMBERS_TABLE, &id, current_version, &record).await?
             }
-            written => written,
+            outcome => outcome,
         };
         if let WriteOutcome::Written(row) = outcome {
             self.version = row.version;
-            self.daemon.shared.members.renewed(begun);
+            self.daemon.shared.members.record_renewal(started_at);
         }
         Ok(())
     }
@@ -92,10 +92,10 @@
         }
     }
 
-    fn report_lease(&mut self) {
-        let is_live = self.daemon.shared.members.own_lease_is_live();
+    fn log_lease_change(&mut self) {
+        let is_live = self.daemon.shared.members.is_local_lease_live();
         if is_live != self.was_live {
-            tracing::info!(event = events::MEMBER_LEASE, is_live, "own lease changed");
+            tracing::info!(event = events::MEMBER_LEASE_CHANGED, is_live, "own lease changed");
         }
         self.was_live = is_live;
     }
@@ -103,8 +103,8 @@
     async fn read_members(&self) {
         match self.platform.list(MEMBERS_TABLE).await {
             Ok(list) => {
-                self.daemon.shared.members.read(&list);
-                self.clear_away(&list).await;
+                self.daemon.shared.members.update(&list);
+                self.remove_expired_member(&list).await;
             }
             Err(error) => {
                 tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "members", %error, "members not read");
@@ -114,12 +114,12 @@
 
     /// Removes at most one row long lapsed, and only one reader in so many
     /// does, so that the whole fleet makes about one removal a round.
-    async fn clear_away(&self, list: &RowList) {
+    async fn remove_expired_member(&self, list: &RowList) {
         let members = &self.daemon.shared.members;
         let readers = members.live_count().max(1);
-        let gone_after = members.lease() * GONE_LEASES;
-        let gone = list.rows.iter().find(|row| !is_live(row, list.now_ms, gone_after));
-        let Some(row) = gone else {
+        let removal_age = members.lease() * REMOVAL_AGE_LEASES;
+        let expired = list.rows.iter().find(|row| !is_live(row, list.now_ms, removal_age));
+        let Some(row) = expired else {
             return;
         };
         if fastrand::usize(0..readers) != 0 {
--- a/crates/router/src/membership/mod.rs
+++ b/crates/router/src/membership/mod.rs
@@ -5,11 +5,11 @@
 //! another. A row's age is judged by the table service's own steady clock,
 //! so no two machines' clocks are ever compared.
 
-mod beat;
+mod heartbeat;
 mod view;
 
-pub use self::beat::MemberBeat;
+pub use self::heartbeat::Heartbeat;
 pub use self::view::MemberView;
 
 /// A lease lasts this many beats: two may be lost.
-pub const LEASE_BEATS: u32 = 3;
+pub const LEASE_HEARTBEATS: u32 = 3;
--- a/crates/router/src/membership/view.rs
+++ b/crates/router/src/membership/view.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Default)]
 struct ViewState {
     /// When the write that renewed our lease last was begun.
-    renewed: Option<Instant>,
+    renewed_at: Option<Instant>,
     live: Vec<MemberRecord>,
 }
 
@@ -48,18 +48,18 @@
     /// still believing that it holds it: the age is taken from this
     /// machine's steady clock at each question, from before the renewing
     /// write was sent, so no belief outlives the lease.
-    pub fn own_lease_is_live(&self) -> bool {
-        let renewed = self.state.lock().expect("view lock").renewed;
-        renewed.is_some_and(|at| at.elapsed() < self.lease)
+    pub fn is_local_lease_live(&self) -> bool {
+        let renewed_at = self.state.lock().expect("view lock").renewed_at;
+        renewed_at.is_some_and(|at| at.elapsed() < self.lease)
     }
 
     /// Our row was written by a call begun at `begun`.
-    pub fn renewed(&self, begun: Instant) {
-        self.state.lock().expect("view lock").renewed = Some(begun);
+    pub fn record_renewal(&self, started_at: Instant) {
+        self.state.lock().expect("view lock").renewed_at = Some(started_at);
     }
 
     /// Takes in the members table; logs when the set of live ones changed.
-    pub fn read(&self, list: &RowList) {
+    pub fn update(&self, list: &RowList) {
         let live: Vec<MemberRecord> = list
             .rows
             .iter()
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -63,7 +63,7 @@
 
 /// One daemon as its membership row shows it.
 #[derive(Debug, Clone)]
-pub struct MemberLine {
+pub struct MemberInfo {
     pub record: MemberRecord,
     /// Since its last renewal, by the table service's clock.
     pub age: Duration,
@@ -93,7 +93,7 @@
             .put_checked(PRESETS_TABLE, name, expect_version, &preset)
             .await
             .map_err(|source| OperatorError::Platform { step: "write preset", source })?;
-        written(outcome, format!("preset `{name}`"))
+        into_row(outcome, format!("preset `{name}`"))
     }
 
     /// Puts preset `name`, as it stands now, in force everywhere.
@@ -121,7 +121,7 @@
             .put_checked(CONTROL_TABLE, ACTIVE_KEY, expect_active, &active)
             .await
             .map_err(|source| OperatorError::Platform { step: "activate preset", source })?;
-        written(outcome, "the preset in force".to_owned())
+        into_row(outcome, "the preset in force".to_owned())
     }
 
     /// The active row, if any preset was ever activated.
@@ -148,7 +148,7 @@
         api_keys: Vec<String>,
     ) -> Result<Row, OperatorError> {
         let entry = OrganisationEntry { api_keys };
-        self.update_book::<OrganisationBook>(ORGANISATIONS_KEY, |book| {
+        self.update_control_row::<OrganisationBook>(ORGANISATIONS_KEY, |book| {
             book.organisations.insert(name.to_owned(), entry.clone());
         })
         .await
@@ -157,7 +157,7 @@
     /// Drains backend server `server`: daemons send it no new work.
     pub async fn drain(&self, server: &str) -> Result<Row, OperatorError> {
         let order = DrainOrder { server: server.to_owned(), by: self.actor.clone() };
-        self.update_book::<DrainBook>(DRAINS_KEY, |book| {
+        self.update_control_row::<DrainBook>(DRAINS_KEY, |book| {
             book.servers.insert(server.to_owned(), order.clone());
         })
         .await
@@ -165,42 +165,46 @@
 
     /// Returns a drained server to service.
     pub async fn undrain(&self, server: &str) -> Result<Row, OperatorError> {
-        self.update_book::<DrainBook>(DRAINS_KEY, |book| {
+        self.update_control_row::<DrainBook>(DRAINS_KEY, |book| {
             book.servers.remove(server);
         })
         .await
     }
 
     /// Asks for `server` to serve `role`; the holder of the duty orders it.
-    pub async fn want_role(&self, server: &str, role: EngineRole) -> Result<Row, OperatorError> {
+    pub async fn set_role_order(
+        &self,
+        server: &str,
+        role: EngineRole,
+    ) -> Result<Row, OperatorError> {
         let order = RoleOrder { role, by: self.actor.clone() };
-        self.update_book::<RoleOrderBook>(ROLE_ORDERS_KEY, |book| {
+        self.update_control_row::<RoleOrderBook>(ROLE_ORDERS_KEY, |book| {
             book.servers.insert(server.to_owned(), order.clone());
         })
         .await
     }
 
     /// Every daemon's membership row, and which leases are live.
-    pub async fn members(&self, lease: Duration) -> Result<Vec<MemberLine>, OperatorError> {
+    pub async fn members(&self, lease: Duration) -> Result<Vec<MemberInfo>, OperatorError> {
         let list = self
             .platform
             .list(MEMBERS_TABLE)
             .await
             .map_err(|source| OperatorError::Platform { step: "list members", source })?;
-        let mut lines = Vec::new();
+        let mut members = Vec::new();
         for row in &list.rows {
             let record = serde_json::from_value(row.value.clone()).map_err(|error| {
                 let what = format!("members/{}", row.key);
                 OperatorError::Malformed { what, message: error.to_string() }
             })?;
             let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
-            lines.push(MemberLine { record, age, is_live: age < lease });
+            members.push(MemberInfo { record, age, is_live: age < lease });
         }
-        Ok(lines)
+        Ok(members)
     }
 
     /// Read, change, conditional write; on a conflict, read again. Bounded.
-    async fn update_book<T>(
+    async fn update_control_row<T>(
         &self,
         key: &'static str,
         change: impl Fn(&mut T),
@@ -244,7 +248,7 @@
     }
 }
 
-fn written(outcome: WriteOutcome, what: String) -> Result<Row, OperatorError> {
+fn into_row(outcome: WriteOutcome, what: String) -> Result<Row, OperatorError> {
     match outcome {
         WriteOutcome::Written(row) => Ok(row),
         WriteOutcome::Conflict { current_version } => {
--- a/crates/router/src/operator/snapshot.rs
+++ b/crates/router/src/operator/snapshot.rs
@@ -11,14 +11,14 @@
 
 use super::OperatorActions;
 use super::OperatorError;
-use super::written;
+use super::into_row;
 
 /// Where snapshots stand in the object store.
 const SNAPSHOT_PREFIX: &str = "snapshots/";
 
 /// What a snapshot holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SnapshotBook {
+pub struct SnapshotContents {
     /// Who saved it.
     pub by: String,
     pub presets: Vec<Row>,
@@ -32,8 +32,8 @@
         let presets = self.rows(PRESETS_TABLE).await?;
         let control = self.rows(CONTROL_TABLE).await?;
         let count = presets.len() + control.len();
-        let book = SnapshotBook { by: self.actor.clone(), presets, control };
-        let body = Bytes::from(serde_json::to_vec(&book).expect("serialising a snapshot"));
+        let contents = SnapshotContents { by: self.actor.clone(), presets, control };
+        let body = Bytes::from(serde_json::to_vec(&contents).expect("serialising a snapshot"));
         self.platform
             .put_object(&object_name(name), body)
             .await
@@ -63,12 +63,12 @@
             .await
             .map_err(|source| platform("read snapshot", source))?
             .ok_or_else(|| OperatorError::NoSuchSnapshot { name: name.to_owned() })?;
-        let book: SnapshotBook = serde_json::from_slice(&body).map_err(|error| {
+        let contents: SnapshotContents = serde_json::from_slice(&body).map_err(|error| {
             let what = format!("snapshots/{name}");
             OperatorError::Malformed { what, message: error.to_string() }
         })?;
-        let presets = self.restore_table(PRESETS_TABLE, &book.presets).await?;
-        let control = self.restore_table(CONTROL_TABLE, &book.control).await?;
+        let presets = self.restore_table(PRESETS_TABLE, &contents.presets).await?;
+        let control = self.restore_table(CONTROL_TABLE, &contents.control).await?;
         Ok(presets + control)
     }
 
@@ -80,17 +80,17 @@
         let current = self.rows(table).await?;
         let mut count = 0;
         for row in rows {
-            let now = current.iter().find(|now| now.key == row.key);
-            if now.is_some_and(|now| now.value == row.value) {
+            let existing = current.iter().find(|existing| existing.key == row.key);
+            if existing.is_some_and(|existing| existing.value == row.value) {
                 continue;
             }
-            let version = now.map_or(0, |now| now.version);
+            let version = existing.map_or(0, |existing| existing.version);
             let outcome = self
                 .platform
                 .put_checked(table, &row.key, version, &row.value)
                 .await
                 .map_err(|source| platform("restore row", source))?;
-            written(outcome, format!("{table}/{}", row.key))?;
+            into_row(outcome, format!("{table}/{}", row.key))?;
             count += 1;
         }
         Ok(count)
--- a/crates/router/src/pipeline/claim.rs
+++ b/crates/router/src/pipeline/claim.rs
@@ -167,8 +167,11 @@
             Priority::Urgent => 0,
             Priority::Standard => self.admitted.preset.prefill_queue_tokens,
         };
-        let predicted_prefill =
-            self.daemon.shared.pace.predict(u64::from(self.admitted.shape.tokens + queue_tokens));
+        let predicted_prefill = self
+            .daemon
+            .shared
+            .prefill_times
+            .predict(u64::from(self.admitted.shape.tokens + queue_tokens));
         target
             .mul_f64(TARGET_FRACTION)
             .saturating_sub(predicted_prefill)
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -131,7 +131,7 @@
         self.cancel.add(&slot.entry.addr);
         match send_decode(&slot, &order).await {
             Ok(response) => {
-                slot.succeeded();
+                slot.record_success();
                 self.cancel.remove(&export.slot.entry.addr);
                 let reader = LineReader::new(response.into_body());
                 let notifier = CapacityNotifier(self.queue());
@@ -144,7 +144,7 @@
                 self.cancel.remove(&slot.entry.addr);
                 self.record_failure(&export.slot);
                 let server = export.slot.entry.server.clone();
-                tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "KV cache transfer failed");
+                tracing::warn!(event = events::SERVER_STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "KV cache transfer failed");
                 let retry_after_s = RETRY_AFTER_S;
                 Err(RunFailure::Rejected {
                     step: STEP,
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -74,7 +74,7 @@
                 return reject(StatusCode::CONFLICT, "in_progress", message, Some(RETRY_AFTER_S));
             }
             Err(error) => {
-                tracing::warn!(event = events::STEP_FAILED, %record_key, %error, "idempotency claim failed");
+                tracing::warn!(event = events::SERVER_STEP_FAILED, %record_key, %error, "idempotency claim failed");
                 let message = "the idempotency record could not be written; the call was not run";
                 return unavailable("platform_unavailable", message);
             }
@@ -100,7 +100,7 @@
                 .await;
             match sent {
                 Ok(value) => {
-                    slot.succeeded();
+                    slot.record_success();
                     return CallOutcome::Responded { status: 200, body: value.to_string() };
                 }
                 Err(WireError::Status { status, body, .. })
@@ -109,8 +109,8 @@
                     return CallOutcome::Responded { status, body };
                 }
                 Err(error) => {
-                    tracing::warn!(event = events::STEP_FAILED, record_key, %error, "plain call failed");
-                    slot.failed();
+                    tracing::warn!(event = events::SERVER_STEP_FAILED, record_key, %error, "plain call failed");
+                    slot.record_failure();
                     let is_rejected = error.status().is_some();
                     if !is_rejected && !error.is_unsent() {
                         return CallOutcome::Unknown { message: error.to_string() };
@@ -174,12 +174,12 @@
             let _guard = slot.begin(0);
             match send_lookup(&slot, &path).await {
                 Ok(body) => {
-                    slot.succeeded();
+                    slot.record_success();
                     return reply::whole(StatusCode::OK, "application/json", body);
                 }
                 Err(error) => {
-                    tracing::warn!(event = events::STEP_FAILED, server = %slot.entry.server, %error, "lookup failed");
-                    slot.failed();
+                    tracing::warn!(event = events::SERVER_STEP_FAILED, server = %slot.entry.server, %error, "lookup failed");
+                    slot.record_failure();
                 }
             }
             tried.push(slot.entry.server.clone());
--- a/crates/router/src/pipeline/prefill.rs
+++ b/crates/router/src/pipeline/prefill.rs
@@ -58,7 +58,7 @@
         );
         let order = self.prefill_order(resume_from);
         let queued = slot.load().queued_tokens;
-        let predicted = self.daemon.shared.pace.predict(queued);
+        let predicted = self.daemon.shared.prefill_times.predict(queued);
         let timeout = (predicted * PREDICTION_FACTOR + PREFILL_SLACK).min(self.remaining());
         self.cancel.add(&slot.entry.addr);
         let started_at = Instant::now();
@@ -68,9 +68,9 @@
         match sent {
             Ok(reply) => {
                 let elapsed = started_at.elapsed();
-                self.daemon.shared.pace.observe(queued, elapsed);
+                self.daemon.shared.prefill_times.observe(queued, elapsed);
                 metrics::histogram!("umberglade_prefill_seconds").record(elapsed.as_secs_f64());
-                slot.succeeded();
+                slot.record_success();
                 let retention = Duration::from_millis(self.admitted.preset.prefill_keep_ms);
                 Ok(KvExport { reply, slot, expires_at: Instant::now() + retention })
             }
@@ -109,12 +109,12 @@
         error: WireError,
     ) -> RunFailure {
         let server = slot.entry.server.clone();
-        tracing::warn!(event = events::STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "stage failed");
+        tracing::warn!(event = events::SERVER_STEP_FAILED, request_id = %self.admitted.request_id, %server, %error, "stage failed");
         if let WireError::Status { status, retry_after_s, body, .. } = error {
             self.cancel.remove(&slot.entry.addr);
             if status == 409 && body.contains(STALE_FENCE) {
                 let fence = self.fence();
-                self.daemon.fenced_off(fence);
+                self.daemon.record_stale_fence(fence);
                 return RunFailure::FencedOff { fence };
             }
             match status {
--- a/crates/router/src/pipeline/relay.rs
+++ b/crates/router/src/pipeline/relay.rs
@@ -37,7 +37,7 @@
             false
         };
         if !relay_events(feed, &sender).or(disconnected).await {
-            tracing::info!(event = events::CALLER_GONE, %request_id, "caller disconnected; cancelling the request");
+            tracing::info!(event = events::CALLER_DISCONNECTED, %request_id, "caller disconnected; cancelling the request");
         }
     });
     response
--- a/crates/router/src/pipeline/response_feed.rs
+++ b/crates/router/src/pipeline/response_feed.rs
@@ -78,7 +78,7 @@
                 Err(message) => message,
             };
             if let Err(message) = self.resume(message).await {
-                tracing::warn!(event = events::REQUEST_ABANDONED, request_id = %self.run.admitted.request_id, %message, "response truncated");
+                tracing::warn!(event = events::REQUEST_FAILED, request_id = %self.run.admitted.request_id, %message, "response truncated");
                 return FeedStep::Truncated(message);
             }
         }
@@ -176,7 +176,7 @@
             return Err(message);
         }
         let resume_from = self.assembler.next_index();
-        tracing::warn!(event = events::ANSWER_RESUMED, request_id = %self.run.admitted.request_id, server = %slot.entry.server, resume_from, %message, "resuming response on another server");
+        tracing::warn!(event = events::RESPONSE_RESUMED, request_id = %self.run.admitted.request_id, server = %slot.entry.server, resume_from, %message, "resuming response on another server");
         metrics::counter!("umberglade_resumed_total").increment(1);
         match self.run.start(resume_from).await {
             Ok(stream) => {
--- a/crates/router/src/pipeline/run.rs
+++ b/crates/router/src/pipeline/run.rs
@@ -97,7 +97,7 @@
 
     /// Returns the admission queue of the request's model.
     pub fn queue(&self) -> Arc<AdmissionQueue> {
-        self.daemon.room(&self.admitted.model)
+        self.daemon.queue(&self.admitted.model)
     }
 
     /// Returns the time since the request was admitted.
@@ -107,7 +107,7 @@
 
     /// Excludes the server from this request and ejects it for all requests for a while.
     pub fn record_failure(&mut self, slot: &ServerSlot) {
-        slot.failed();
+        slot.record_failure();
         self.avoid.push(slot.entry.server.clone());
     }
 
--- a/crates/router/src/placement/affinity.rs
+++ b/crates/router/src/placement/affinity.rs
@@ -108,7 +108,7 @@
     candidates: &'a [Arc<ServerSlot>],
     request: &'a PlacementRequest<'_>,
 ) -> impl Iterator<Item = (usize, &'a Arc<ServerSlot>)> {
-    candidates.iter().enumerate().filter(|(_, slot)| request.allows(slot) && !slot.is_set_aside())
+    candidates.iter().enumerate().filter(|(_, slot)| request.allows(slot) && !slot.is_ejected())
 }
 
 /// Returns the predicted work, in tokens, until the prompt is prefilled on `slot`. An urgent
--- a/crates/router/src/platform/client.rs
+++ b/crates/router/src/platform/client.rs
@@ -22,7 +22,8 @@
 /// Guards against a key that holds a `/` (an idempotency record's key is
 /// `organisation/key`): unencoded it reads as two segments, the service
 /// answers 404, and no non-idempotent call can ever be claimed.
-const SEGMENT: &AsciiSet = &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
+const PATH_SEGMENT: &AsciiSet =
+    &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
 /// What a conditional write came to.
 #[derive(Debug, Clone, PartialEq)]
@@ -69,7 +70,7 @@
         from: &str,
         limit: usize,
     ) -> Result<RowList, WireError> {
-        let from = utf8_percent_encode(from, SEGMENT);
+        let from = utf8_percent_encode(from, PATH_SEGMENT);
         let path = format!("/v1/rows/{table}?from={from}&limit={limit}");
         self.http.call::<(), RowList>("list rows", Method::GET, &path, None).await
     }
@@ -170,19 +171,19 @@
 
     /// Names of objects that begin with `prefix`.
     pub async fn list_objects(&self, prefix: &str) -> Result<ObjectList, WireError> {
-        let prefix = utf8_percent_encode(prefix, SEGMENT);
+        let prefix = utf8_percent_encode(prefix, PATH_SEGMENT);
         let path = format!("/v1/objects?prefix={prefix}");
         self.http.call::<(), ObjectList>("list objects", Method::GET, &path, None).await
     }
 }
 
 fn object_path(name: &str) -> String {
-    format!("/v1/objects/{}", utf8_percent_encode(name, SEGMENT))
+    format!("/v1/objects/{}", utf8_percent_encode(name, PATH_SEGMENT))
 }
 
 /// The path of row `table`/`key`, each part percent-encoded.
 fn row_path(table: &str, key: &str) -> String {
-    let table = utf8_percent_encode(table, SEGMENT);
-    let key = utf8_percent_encode(key, SEGMENT);
+    let table = utf8_percent_encode(table, PATH_SEGMENT);
+    let key = utf8_percent_encode(key, PATH_SEGMENT);
     format!("/v1/rows/{table}/{key}")
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -13,7 +13,7 @@
 /// go unnoticed, and with it the time until a change is in force.
 pub const DEFAULT_FEED_WAIT: Duration = Duration::from_millis(1500);
 /// How often a daemon renews its lease by default.
-pub const DEFAULT_MEMBER_BEAT: Duration = Duration::from_secs(5);
+pub const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 /// How long idempotency records are kept by default.
 pub const DEFAULT_RECORD_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
 /// Default bound on one call to the platform.
@@ -37,7 +37,7 @@
     pub incarnation: u64,
     pub feed_wait: Duration,
     /// How often the daemon renews its lease in the members table.
-    pub member_beat: Duration,
+    pub heartbeat_interval: Duration,
     /// How long idempotency records are kept.
     pub record_retention: Duration,
     pub platform_timeout: Duration,
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -12,12 +12,12 @@
 use crate::control::ControlFollower;
 use crate::control::ControlState;
 use crate::daemon::Daemon;
-use crate::duty::DutyKeeper;
-use crate::duty::DutyLease;
-use crate::duty::RecordSweeper;
 use crate::events;
-use crate::membership::LEASE_BEATS;
-use crate::membership::MemberBeat;
+use crate::leader::LeaderController;
+use crate::leader::LeaderLease;
+use crate::leader::RecordCleaner;
+use crate::membership::Heartbeat;
+use crate::membership::LEASE_HEARTBEATS;
 use crate::membership::MemberView;
 use crate::placement::Placement;
 use crate::platform::PlatformClient;
@@ -39,7 +39,7 @@
 ) -> Result<StartedDaemon<P>, io::Error> {
     let (listener, local) = server::bind(settings.listen).await?;
     let control = Arc::new(ControlState::default());
-    let lease = settings.member_beat * LEASE_BEATS;
+    let lease = settings.heartbeat_interval * LEASE_HEARTBEATS;
     let members = Arc::new(MemberView::new(lease));
     let daemon = Daemon::new(settings.clone(), Arc::clone(&control), members, placement, metrics);
     let follower = ControlFollower {
@@ -49,16 +49,16 @@
     };
     follower.start().await;
     let platform = PlatformClient::new(settings.platform.clone(), settings.platform_timeout);
-    let beat = MemberBeat::new(daemon.clone(), platform.clone(), local.to_string());
-    pool::spawn(beat.run());
-    let keeper = DutyKeeper {
-        sweeper: RecordSweeper::new(platform.clone(), settings.record_retention),
-        lease: DutyLease::new(platform, settings.daemon_id.clone(), settings.incarnation, lease),
+    let heartbeat = Heartbeat::new(daemon.clone(), platform.clone(), local.to_string());
+    pool::spawn(heartbeat.run());
+    let controller = LeaderController {
+        cleaner: RecordCleaner::new(platform.clone(), settings.record_retention),
+        lease: LeaderLease::new(platform, settings.daemon_id.clone(), settings.incarnation, lease),
         control,
         daemon: settings.daemon_id.clone(),
-        beat: settings.member_beat,
+        interval: settings.heartbeat_interval,
     };
-    pool::spawn(keeper.run());
+    pool::spawn(controller.run());
     pool::spawn(server::serve(listener, Arc::new(daemon.clone())));
     tracing::info!(event = events::DAEMON_STARTED, %local, daemon = %settings.daemon_id, domain = %settings.domain, "daemon serving");
     Ok(StartedDaemon { daemon, local })
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -68,7 +68,7 @@
             waiting: self.waiting(),
             draining: self.is_draining(),
             members_live: self.shared.members.live_count(),
-            member: self.shared.members.own_lease_is_live(),
+            member: self.shared.members.is_local_lease_live(),
             servers: server_statuses(&snapshot),
         }
     }
@@ -85,7 +85,7 @@
             domain: slot.entry.domain.clone(),
             state: slot.entry.state.to_string(),
             drained: snapshot.drained.contains(&slot.entry.server),
-            set_aside: slot.is_set_aside(),
+            set_aside: slot.is_ejected(),
             in_flight: slot.in_flight(),
             running: slot.load().running,
         })
--- a/crates/router/tests/duty_lease.rs
+++ b/crates/router/tests/leader_lease.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use umberglade_router::duty::DutyLease;
+use umberglade_router::leader::LeaderLease;
 use umberglade_router::platform::PlatformClient;
 use umberglade_standin::platform::PlatformConfig;
 use umberglade_standin::platform::PlatformStandin;
@@ -21,20 +21,20 @@
     local.to_string()
 }
 
-fn lease(platform: &str, daemon: &str) -> DutyLease {
+fn lease(platform: &str, daemon: &str) -> LeaderLease {
     let client = PlatformClient::new(platform, Duration::from_secs(1));
-    DutyLease::new(client, daemon.into(), 1, LEASE)
+    LeaderLease::new(client, daemon.into(), 1, LEASE)
 }
 
 /// The holder is paused between its renewal and the order it was about to
 /// send. On waking it asks for the fencing number: it must get none, well
 /// before another daemon can have taken the duty.
 #[test]
-fn a_holder_that_slept_gets_no_fence() {
+fn paused_leader_gets_no_fence() {
     pool::block_on(async {
         let platform = platform().await;
         let mut held = lease(&platform, "entry-1");
-        held.contend().await.unwrap();
+        held.acquire_or_renew().await.unwrap();
         assert!(held.fence().is_some());
         smol::Timer::after(LEASE * 2 / 3).await;
         assert_eq!(held.fence(), None, "orders on a lease that may lapse");
@@ -46,23 +46,23 @@
 /// renews, must take it once the first is silent past the lease, and then
 /// has the higher fence; the first, back, must see that it lost.
 #[test]
-fn the_duty_passes_on_only_after_the_lease() {
+fn leadership_changes_only_after_the_lease_expires() {
     pool::block_on(async {
         let platform = platform().await;
         let mut first = lease(&platform, "entry-1");
         let mut second = lease(&platform, "entry-2");
-        first.contend().await.unwrap();
+        first.acquire_or_renew().await.unwrap();
         let first_fence = first.fence().unwrap();
         for _ in 0..4 {
             smol::Timer::after(LEASE / 3).await;
-            first.contend().await.unwrap();
-            second.contend().await.unwrap();
+            first.acquire_or_renew().await.unwrap();
+            second.acquire_or_renew().await.unwrap();
             assert!(first.is_held() && !second.is_held());
         }
         smol::Timer::after(LEASE + Duration::from_millis(50)).await;
-        second.contend().await.unwrap();
+        second.acquire_or_renew().await.unwrap();
         assert!(second.fence().unwrap() > first_fence);
-        first.contend().await.unwrap();
+        first.acquire_or_renew().await.unwrap();
         assert!(!first.is_held());
         assert_eq!(first.fence(), None);
     });
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -47,7 +47,7 @@
                 queued_tokens: candidate.queued_tokens,
             });
             if candidate.failed {
-                slot.failed();
+                slot.record_failure();
             }
             Arc::new(slot)
         })
--- a/crates/umberctl/src/commands.rs
+++ b/crates/umberctl/src/commands.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use snafu::Snafu;
-use umberglade_router::operator::MemberLine;
+use umberglade_router::operator::MemberInfo;
 use umberglade_router::operator::OperatorActions;
 use umberglade_router::operator::OperatorError;
 use umberglade_router::preset::Preset;
@@ -100,7 +100,7 @@
         Command::Role(args) => {
             let role = args.role.parse().ok().filter(|role| *role != EngineRole::Plain);
             let role = role.ok_or(CommandError::BadRole { role: args.role })?;
-            let row = actions.want_role(&args.server, role).await?;
+            let row = actions.set_role_order(&args.server, role).await?;
             Ok(format!("{} is to serve {role} (role orders version {})", args.server, row.version))
         }
         Command::Members(args) => {
@@ -128,7 +128,7 @@
     }
 }
 
-fn member_line(line: &MemberLine) -> String {
+fn member_line(line: &MemberInfo) -> String {
     let record = &line.record;
     format!(
         "{}\t{}\t{}/{}\tfence {}\t{}\tseen {:.1} s ago{}",
--- a/crates/umberglade/src/serve.rs
+++ b/crates/umberglade/src/serve.rs
@@ -7,14 +7,14 @@
 use metrics_exporter_prometheus::PrometheusBuilder;
 use metrics_exporter_prometheus::PrometheusHandle;
 use umberglade_bench::experiment::PolicyName;
-use umberglade_router::daemon::DRAIN_LIMIT;
+use umberglade_router::daemon::DRAIN_TIMEOUT;
 use umberglade_router::events;
 use umberglade_router::placement::AffinityPlacement;
 use umberglade_router::placement::LeastLoadedPlacement;
 use umberglade_router::placement::Placement;
 use umberglade_router::placement::RoundRobinPlacement;
 use umberglade_router::settings::DEFAULT_FEED_WAIT;
-use umberglade_router::settings::DEFAULT_MEMBER_BEAT;
+use umberglade_router::settings::DEFAULT_HEARTBEAT_INTERVAL;
 use umberglade_router::settings::DEFAULT_PLATFORM_TIMEOUT;
 use umberglade_router::settings::DEFAULT_RECORD_RETENTION;
 use umberglade_router::settings::DaemonSettings;
@@ -85,7 +85,7 @@
         "member-beat-ms",
         "UMBERGLADE_MEMBER_BEAT_MS",
         args.member_beat_ms,
-        DEFAULT_MEMBER_BEAT.as_millis() as u64,
+        DEFAULT_HEARTBEAT_INTERVAL.as_millis() as u64,
         50..=600_000,
     )?;
     let retention_s = setting::resolve_within(
@@ -125,7 +125,7 @@
         )?,
         incarnation: fastrand::u64(..),
         feed_wait: Duration::from_millis(follow_ms),
-        member_beat: Duration::from_millis(beat_ms),
+        heartbeat_interval: Duration::from_millis(beat_ms),
         record_retention: Duration::from_secs(retention_s),
         platform_timeout: DEFAULT_PLATFORM_TIMEOUT,
         threads,
@@ -151,7 +151,7 @@
     println!("listening on {local}");
     wait_for_stop().await;
     daemon.begin_drain();
-    let whole = daemon.drained(DRAIN_LIMIT).await;
+    let whole = daemon.wait_until_drained(DRAIN_TIMEOUT).await;
     tracing::info!(
         event = events::DAEMON_DRAINING,
         whole,
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -160,7 +160,7 @@
     paused.freeze();
     let taken = || duty_holder(&platform.addr).is_some_and(|holder| holder != first);
     assert!(eventually(Duration::from_secs(5), taken), "nobody took the duty");
-    run(actions(&platform.addr).want_role("server", EngineRole::Decode)).unwrap();
+    run(actions(&platform.addr).set_role_order("server", EngineRole::Decode)).unwrap();
     let report = || get_json::<EngineReport>(&engine.addr, "/v1/report");
     let is_decode = || report().role == EngineRole::Decode && !report().busy;
     assert!(eventually(Duration::from_secs(5), is_decode), "{:?}", report());
