--- a/crates/router/src/control/follower.rs
+++ b/crates/router/src/control/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: keeps the snapshot in step with the platform's two feeds.
+//! Keeps the control snapshot up to date with the platform's two feeds.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +13,25 @@
 use crate::platform::InstanceFeed;
 use crate::platform::TableFeed;
 
-/// Pause after a first failed read, before jitter; doubled for each next.
+/// Delay after the first failed read, before jitter. It doubles with each further failure.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
-/// The longest pause, before jitter: 340 daemons with two feeds each then
-/// ask a platform that is down about 450 times a second, a quarter of what
-/// it takes when well, and a change is still in force within seconds of
-/// its return.
+/// The longest delay, before jitter. At this delay 340 daemons with two feeds each send about 450
+/// requests a second to a platform that is down, a quarter of what it handles when healthy, and a
+/// change still takes effect within seconds of its return.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(1600);
 
-/// Keeps a [`ControlState`] in step with the platform.
+/// Keeps a [`ControlState`] up to date with the platform.
 #[derive(Debug, Clone)]
 pub struct ControlFollower {
     /// `host:port` of the platform.
     pub platform: String,
     pub state: Arc<ControlState>,
-    /// Longest a feed is held open while nothing changes.
+    /// How long a feed request is held open at most while nothing changes.
     pub feed_wait: Duration,
 }
 
 impl ControlFollower {
-    /// Reads both feeds once, then follows them on the pool until the
-    /// process ends.
+    /// Reads both feeds once, then follows them on the pool until the process stops.
     pub async fn start(self) {
         let mut table = TableFeed::new(self.platform.clone(), CONTROL_TABLE);
         let mut instances = InstanceFeed::new(self.platform.clone());
@@ -56,7 +54,7 @@
         });
     }
 
-    /// One read of the control table's feed; false when it failed.
+    /// Reads the control table's feed once. Returns false if the read failed.
     async fn follow_table(&self, feed: &mut TableFeed, wait: Duration) -> bool {
         let page = match feed.next(wait).await {
             Ok(page) => page,
@@ -71,7 +69,7 @@
         true
     }
 
-    /// One read of the instance list's feed; false when it failed.
+    /// Reads the instance list's feed once. Returns false if the read failed.
     async fn follow_instances(&self, feed: &mut InstanceFeed, wait: Duration) -> bool {
         let list = match feed.next(wait).await {
             Ok(list) => list,
@@ -85,21 +83,21 @@
     }
 }
 
-/// Logs a failed read; always false.
+/// Logs a failed read and returns false.
 fn log_failure(what: &str, error: &WireError) -> bool {
-    tracing::warn!(event = events::PLATFORM_UNREACHABLE, what, %error, "serving on what is in force");
+    tracing::warn!(event = events::PLATFORM_UNREACHABLE, what, %error, "platform feed not read; serving with the current configuration");
     false
 }
 
-/// Failed reads in a row, and the pause they call for.
+/// Counts consecutive failed reads and applies the resulting delay.
 #[derive(Debug, Default)]
 struct FeedBackoff {
     failures: u32,
 }
 
 impl FeedBackoff {
-    /// Waits after a failed read, longer each time in a row and jittered,
-    /// so that daemons do not come back to the platform all at once.
+    /// Waits after a failed read. The delay grows with each consecutive failure and is jittered,
+    /// so that daemons do not return to the platform all at once.
     async fn wait_after(&mut self, succeeded: bool) {
         if succeeded {
             self.failures = 0;
--- a/crates/router/src/control/mod.rs
+++ b/crates/router/src/control/mod.rs
@@ -1,9 +1,8 @@
-//! What is in force on this daemon: the preset, the organisations, the
-//! backend servers; and the follower that keeps it in step with the
-//! platform's table service.
+//! The configuration this daemon serves with (preset, organisations, backend servers) and the
+//! follower that keeps it up to date with the platform's table service.
 //!
-//! Readers take an `Arc` of the current [`ControlSnapshot`] and never hold
-//! the lock across an await. The follower alone replaces it.
+//! Readers take an `Arc` of the current [`ControlSnapshot`] and never hold the lock across an
+//! await. Only the follower replaces the snapshot.
 
 mod follower;
 mod server_counters;
--- a/crates/router/src/control/server_counters.rs
+++ b/crates/router/src/control/server_counters.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of one server's load and health.
+//! One server's load and health as this daemon sees them.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU32;
@@ -9,29 +9,29 @@
 
 use umberglade_wire::engine::LoadSample;
 
-/// How long a reported load counts; then only our own count is left, so a
-/// server that was full once is not shunned for want of newer reports.
+/// How long a reported load counts. After that only the local count is used, so that a server
+/// reported as full is not avoided forever when no newer report arrives.
 const REPORT_RETENTION: Duration = Duration::from_secs(2);
-/// How long reported waiting tokens take to fade to nothing.
+/// How long the reported number of queued tokens takes to decay to zero.
 const QUEUE_DECAY_TIME: Duration = Duration::from_millis(500);
-/// How long a server is set aside after a first failure.
+/// How long a server is ejected after its first failure.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// The longest it is set aside after failures in a row.
+/// The longest ejection after consecutive failures.
 const MAX_EJECTION: Duration = Duration::from_secs(8);
 
-/// A server's load: its last report corrected by our own count.
+/// A server's load: its last report, corrected by the local count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct ServerLoad {
-    /// Requests held there, as best known.
+    /// Estimated number of requests running on the server.
     pub running: u32,
-    /// Requests it can hold; 0 while no report has come.
+    /// Requests the server can run at once; 0 until the first report.
     pub slots: u32,
-    /// Prompt tokens waiting there to be computed, as best known.
+    /// Estimated number of prompt tokens waiting for prefill on the server.
     pub queued_tokens: u64,
 }
 
-/// The last report, less our own share of it at that moment: what other
-/// daemons have there.
+/// The load that other daemons put on the server: the last report minus the local count at the
+/// time of the report.
 #[derive(Debug, Clone, Copy)]
 struct PeerLoad {
     running: u32,
@@ -46,13 +46,13 @@
     ejected_until: Option<Instant>,
 }
 
-/// One server's figures. Locks `others` and `health` are held only to copy
-/// a few words; no call holds both.
+/// One server's counters. The locks `peer_load` and `health` are held only to copy a few words,
+/// and no call holds both.
 #[derive(Debug, Default)]
 pub struct ServerCounters {
-    /// Requests this daemon has in flight there.
+    /// Requests this daemon has in flight on the server.
     in_flight: AtomicU32,
-    /// Prompt tokens this daemon has waiting there.
+    /// Prompt tokens this daemon has waiting on the server.
     queued_tokens: AtomicU64,
     peer_load: Mutex<Option<PeerLoad>>,
     health: Mutex<HealthRecord>,
@@ -81,8 +81,8 @@
         self.queued_tokens.load(Ordering::Acquire)
     }
 
-    /// Takes in a report. Our own part is subtracted, since it is counted
-    /// exactly: what is left is the lagging view of the others' part.
+    /// Records a load report. The local load is subtracted because it is counted exactly, which
+    /// leaves the delayed view of the load from other daemons.
     pub(super) fn observe(&self, sample: LoadSample) {
         let local_tokens = self.local_queued_tokens();
         let peers = PeerLoad {
@@ -115,9 +115,9 @@
         *self.health.lock().expect("health lock") = HealthRecord::default();
     }
 
-    /// Guards against a server that is leaving or dead while the instance
-    /// list still shows it live: its refusals and broken connections set
-    /// it aside at once, seconds before the list moves.
+    /// Ejects the server for a while. Covers a server that is leaving or dead while the instance
+    /// list still shows it as live: its rejections and broken connections eject it at once,
+    /// seconds before the list changes.
     pub(super) fn record_failure(&self) {
         let mut health = self.health.lock().expect("health lock");
         let doubled = MIN_EJECTION * 2u32.saturating_pow(health.consecutive_failures.min(6));
@@ -131,12 +131,11 @@
     }
 }
 
-/// What is left of `tokens` reported `age` ago: a server reads what waits
-/// there within a fraction of a second.
+/// Returns how many of the `tokens` reported `age` ago still count as queued. A server prefills
+/// its queue within a fraction of a second.
 ///
-/// Guards against a server left idle: reports ride on answers, a server
-/// received_at for full gets no requests and so sends no newer report, and an
-/// old one would keep it empty for its whole life.
+/// Prevents an idle server: reports are carried on responses, so a server considered full gets no
+/// requests and sends no newer report, and an old report would keep it empty until it expires.
 fn decayed_tokens(tokens: u64, age: Duration) -> u64 {
     let left = 1.0 - age.as_secs_f64() / QUEUE_DECAY_TIME.as_secs_f64();
     (tokens as f64 * left.max(0.0)).ceil() as u64
--- a/crates/router/src/control/server_pools.rs
+++ b/crates/router/src/control/server_pools.rs
@@ -1,4 +1,4 @@
-//! Servers that take new work, grouped by what they serve.
+//! Servers available for new work, grouped by model and role.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -22,15 +22,15 @@
     plain: Vec<Arc<ServerSlot>>,
 }
 
-/// Every pool, worked out once when servers change, so that a request
-/// looks its candidates up and copies nothing.
+/// All pools, computed once when servers change, so that a request looks up its candidates
+/// without copying them.
 #[derive(Debug, Clone, Default)]
 pub struct ServerPools {
     pools: HashMap<ModelName, HashMap<EngineRole, ServerPool>>,
 }
 
 impl ServerPools {
-    /// Groups `servers` that are live and not in `drained`.
+    /// Groups those of `servers` that are live and not in `drained`.
     pub fn new(servers: &[Arc<ServerSlot>], drained: &BTreeSet<ServerId>) -> Self {
         let mut models: HashMap<ModelName, ModelPools> = HashMap::new();
         for slot in servers {
@@ -59,7 +59,7 @@
         ServerPools { pools }
     }
 
-    /// Servers of `role` for `model`; empty when there are none.
+    /// Returns the servers of `role` for `model`, empty if there are none.
     pub fn get(&self, role: EngineRole, model: &str) -> ServerPool {
         self.pools
             .get(model)
--- a/crates/router/src/control/server_slot.rs
+++ b/crates/router/src/control/server_slot.rs
@@ -8,18 +8,17 @@
 use super::ServerCounters;
 use super::ServerLoad;
 
-/// A backend server's entry in the instance list, and this daemon's own
-/// figures about it.
+/// A backend server's entry in the instance list and this daemon's counters for it.
 #[derive(Debug)]
 pub struct ServerSlot {
     pub entry: InstanceEntry,
-    /// Shared with earlier and later slots of the same server: a guard
-    /// taken before the entry changed gives back to the same count.
+    /// Shared with earlier and later slots of the same server, so that a guard taken before the
+    /// entry changed releases to the same counters.
     counters: Arc<ServerCounters>,
 }
 
-/// One request's share of a server's in-flight counts, given back when
-/// dropped, on every path out of a step.
+/// One request's share of a server's in-flight counters. It is released on drop, on every path
+/// out of a step.
 #[derive(Debug)]
 pub struct InFlightGuard {
     counters: Arc<ServerCounters>,
@@ -27,7 +26,7 @@
 }
 
 impl InFlightGuard {
-    /// The prompt was computed: its tokens no longer wait there.
+    /// Releases the prompt's tokens once its prefill is done.
     pub fn finish_prefill(&mut self) {
         self.counters.release_tokens(self.tokens);
         self.tokens = 0;
@@ -41,55 +40,54 @@
 }
 
 impl ServerSlot {
-    /// A slot for `entry` with nothing in flight.
+    /// Creates a slot for `entry` with nothing in flight.
     pub fn new(entry: InstanceEntry) -> Self {
         ServerSlot { entry, counters: Arc::new(ServerCounters::default()) }
     }
 
-    /// A slot for `entry`, the same server as `previous`.
+    /// Creates a slot for `entry` that keeps the counters of `previous`, the same server.
     pub fn with_entry(entry: InstanceEntry, previous: &ServerSlot) -> Self {
         ServerSlot { entry, counters: Arc::clone(&previous.counters) }
     }
 
-    /// Requests this daemon has in flight on the server now.
+    /// Returns the number of requests this daemon has in flight on the server.
     pub fn in_flight(&self) -> u32 {
         self.counters.in_flight()
     }
 
-    /// Prompt tokens this daemon has waiting on the server now.
+    /// Returns the number of prompt tokens this daemon has waiting on the server.
     pub fn queued_tokens(&self) -> u64 {
         self.counters.local_queued_tokens()
     }
 
-    /// Counts one more request with `tokens` of prompt to compute in
-    /// flight until the guard drops.
+    /// Counts one more request, with `tokens` of prompt to prefill, until the guard is dropped.
     pub fn begin(&self, tokens: u64) -> InFlightGuard {
         self.counters.begin(tokens);
         InFlightGuard { counters: Arc::clone(&self.counters), tokens }
     }
 
-    /// Takes in the load a server's answer carried.
+    /// Records the load carried on a server's response.
     pub fn observe(&self, sample: LoadSample) {
         self.counters.observe(sample);
     }
 
-    /// The server's load as best known now.
+    /// Returns the current estimate of the server's load.
     pub fn load(&self) -> ServerLoad {
         self.counters.load()
     }
 
-    /// The server answered: it is well.
+    /// Records a response from the server, which ends an ejection.
     pub fn record_success(&self) {
         self.counters.record_success();
     }
 
-    /// The server failed a step or refused one: it gets no new work for a
-    /// while, longer each time in a row.
+    /// Records that the server failed or rejected a step. It is ejected for a while, longer with
+    /// each consecutive failure.
     pub fn record_failure(&self) {
         self.counters.record_failure();
     }
 
-    /// True while the server is set aside after failures.
+    /// Returns true while the server is ejected after failures.
     pub fn is_ejected(&self) -> bool {
         self.counters.is_ejected()
     }
--- a/crates/router/src/control/snapshot.rs
+++ b/crates/router/src/control/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot of what is in force, and how rows change it.
+//! The snapshot of the active configuration and how rows change it.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -30,19 +30,18 @@
 use crate::events;
 use crate::preset::Preset;
 
-/// Everything a request needs to know about what is in force.
+/// The configuration and servers that a request is handled with.
 #[derive(Debug, Clone, Default)]
 pub struct ControlSnapshot {
-    /// The version of the `control/active` row in force; 0 before any.
-    /// Invariant: only grows over a daemon's life. It is also the fencing
-    /// number on every request this daemon sends to an engine.
+    /// The version of the applied `control/active` row; 0 before the first. It never decreases
+    /// while a daemon runs, and is the fencing token on every request to an engine.
     pub fence: Fence,
     pub preset_name: String,
-    /// When this daemon took `fence` into force.
+    /// When this daemon applied `fence`.
     pub fence_applied_at: Option<SystemTime>,
     /// `None` until a preset has been read.
     pub preset: Option<Arc<Preset>>,
-    /// Invariant: only grows, as the two below.
+    /// Never decreases, like the two versions below.
     pub organisations_version: RowVersion,
     /// API key → organisation.
     pub api_keys: Arc<HashMap<String, OrganisationId>>,
@@ -52,33 +51,30 @@
     pub role_orders: Arc<RoleOrderBook>,
     /// Backend servers from the instance list, drained ones included.
     pub servers: Arc<Vec<Arc<ServerSlot>>>,
-    /// Those of them that take new work.
+    /// Those of them that are available for new work.
     pub pools: Arc<ServerPools>,
-    /// When the platform last answered the table feed and the instance
-    /// feed.
+    /// When the platform last answered the table feed and the instance feed.
     pub table_read: Option<Instant>,
     pub instances_read: Option<Instant>,
 }
 
 impl ControlSnapshot {
-    /// Servers of `role` for `model` that take new work: live in the
+    /// Returns the servers of `role` for `model` that are available for new work: live in the
     /// instance list and not drained by an operator.
     pub fn candidates(&self, role: EngineRole, model: &str) -> ServerPool {
         self.pools.get(role, model)
     }
 
-    /// When the platform last answered both feeds; `None` before it has.
+    /// Returns when the platform last answered both feeds, or `None` before it has.
     pub fn last_sync(&self) -> Option<Instant> {
         Some(self.table_read?.min(self.instances_read?))
     }
 
-    /// Applies one row of the control table; rows of other keys are not
-    /// ours.
+    /// Applies one row of the control table. Rows with unknown keys are ignored.
     ///
-    /// Guards against a revert: a row is applied only when its version is
-    /// above the one in force, so a late or replayed read of an older row
-    /// (a store that failed over, a paused daemon waking) never moves this
-    /// daemon back.
+    /// Prevents a revert: a row is applied only if its version is above the applied one, so a late
+    /// or replayed read of an older row (after a store failover, or on a daemon that resumes after
+    /// a pause) never restores old configuration.
     pub fn apply_row(&mut self, row: &Row) {
         match row.key.as_str() {
             ACTIVE_KEY => self.apply_active(row),
@@ -95,7 +91,7 @@
                 event = events::PRESET_STALE_IGNORED,
                 version = row.version,
                 fence = self.fence,
-                "older preset row ignored"
+                "preset row older than the active one ignored"
             );
             return;
         }
@@ -111,7 +107,7 @@
             preset = %active.preset,
             fence = row.version,
             activated_by = %active.activated_by,
-            "preset in force"
+            "preset applied"
         );
         self.fence = row.version;
         self.fence_applied_at = Some(SystemTime::now());
@@ -144,7 +140,7 @@
             return;
         };
         let drained: BTreeSet<ServerId> = book.servers.into_keys().collect();
-        tracing::info!(event = events::SERVERS_CHANGED, ?drained, "drains changed");
+        tracing::info!(event = events::SERVERS_CHANGED, ?drained, "drained servers changed");
         self.drained = Arc::new(drained);
         self.drains_version = row.version;
         self.regroup();
@@ -161,8 +157,7 @@
         self.role_orders_version = row.version;
     }
 
-    /// Applies a change of the instance list, or the whole list. Each
-    /// known server keeps its counts.
+    /// Applies a change of the instance list, or the full list. Known servers keep their counters.
     pub fn apply_instances(&mut self, list: InstanceList) {
         if list.delta && list.instances.is_empty() {
             return;
@@ -208,7 +203,7 @@
     }
 }
 
-/// The value of `row`, or `None` with the refusal logged.
+/// Returns the value of `row`. Logs the row as rejected and returns `None` if it does not parse.
 fn parse_row<T: DeserializeOwned>(row: &Row) -> Option<T> {
     match serde_json::from_value(row.value.clone()) {
         Ok(value) => Some(value),
@@ -220,5 +215,5 @@
 }
 
 fn reject(row: &Row, message: &str) {
-    tracing::error!(event = events::PRESET_REJECTED, key = %row.key, version = row.version, message, "control row refused");
+    tracing::error!(event = events::PRESET_REJECTED, key = %row.key, version = row.version, message, "control row rejected");
 }
--- a/crates/router/src/control/state.rs
+++ b/crates/router/src/control/state.rs
@@ -1,25 +1,25 @@
-//! The lock that publishes the snapshot.
+//! Publishes the current snapshot to all readers.
 
 use std::sync::Arc;
 use std::sync::RwLock;
 
 use super::ControlSnapshot;
 
-/// The published snapshot. One lock, held only to swap or clone an `Arc`
-/// and, by the follower, to work out the next one.
+/// The published snapshot. Its lock is held only to swap or clone an `Arc` and, by the follower,
+/// to compute the next snapshot.
 #[derive(Debug, Default)]
 pub struct ControlState {
     current: RwLock<Arc<ControlSnapshot>>,
 }
 
 impl ControlState {
-    /// The snapshot in force now.
+    /// Returns the current snapshot.
     pub fn current(&self) -> Arc<ControlSnapshot> {
         self.current.read().expect("control lock").clone()
     }
 
-    /// Puts in force what `change` makes of the snapshot. The lock is held
-    /// throughout, so the two feeds never undo each other's change.
+    /// Publishes a copy of the snapshot with `change` applied. The lock is held throughout, so the
+    /// two feeds never overwrite each other's changes.
     pub fn update(&self, change: impl FnOnce(&mut ControlSnapshot)) {
         let mut current = self.current.write().expect("control lock");
         let mut next = (**current).clone();
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -1,4 +1,4 @@
-//! The daemon: what its requests share, and its start and graceful stop.
+//! The daemon: the state its requests share, and its graceful stop.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
 use crate::platform::PlatformClient;
 use crate::settings::DaemonSettings;
 
-/// How long a stop waits at most for requests in flight to finish.
+/// How long a graceful stop waits at most for requests in flight.
 pub const DRAIN_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The daemon; cheap to clone, all clones share one state.
+/// The daemon. Cheap to clone; all clones share one state.
 #[derive(Debug)]
 pub struct Daemon<P> {
     pub(crate) shared: Arc<DaemonShared<P>>,
@@ -40,8 +40,8 @@
     }
 }
 
-/// What all requests share. Lock order: `rooms`, then a room's own lock;
-/// the control lock is never held together with either.
+/// The state that all requests share. Lock order: `queues`, then the lock of a queue. The control
+/// lock is never held together with either.
 #[derive(Debug)]
 pub(crate) struct DaemonShared<P> {
     pub(crate) settings: DaemonSettings,
@@ -53,17 +53,16 @@
     pub(crate) prefill_times: PrefillTimeEstimator,
     pub(crate) ledger: IdempotencyLedger,
     queues: Mutex<HashMap<ModelName, Arc<AdmissionQueue>>>,
-    /// Requests admitted and not yet answered in full.
+    /// Requests admitted whose response is not complete yet.
     in_flight: AtomicU32,
     next_sequence: AtomicU64,
-    /// The fence this daemon held when an engine refused it as old; 0 for
-    /// never.
+    /// The fencing token that an engine last rejected as stale; 0 if none was.
     rejected_fence: AtomicU64,
-    /// Set when a graceful stop begins; new work is refused from then on.
+    /// Set when a graceful stop begins. New requests are rejected from then on.
     draining: AtomicBool,
 }
 
-/// Counts one request in the daemon's in-flight total until dropped.
+/// Counts one request in the daemon's in-flight total until it is dropped.
 #[derive(Debug)]
 pub struct AdmissionGuard<P> {
     daemon: Daemon<P>,
@@ -76,8 +75,8 @@
 }
 
 impl<P> Daemon<P> {
-    /// A daemon with `settings`, following `control`, placing by
-    /// `placement`, rendering `metrics` at `/metrics` when given.
+    /// Creates a daemon that serves by the configuration in `control`, places requests with
+    /// `placement` and renders `metrics` at `/metrics` if given.
     pub fn new(
         settings: DaemonSettings,
         control: Arc<ControlState>,
@@ -105,51 +104,50 @@
         Daemon { shared: Arc::new(shared) }
     }
 
-    /// Begins a graceful stop: the health check fails and new requests are
-    /// refused with `Retry-After`; requests in flight go on.
+    /// Begins a graceful stop: the health check fails and new requests are rejected with
+    /// `Retry-After`, while requests in flight continue.
     pub fn begin_drain(&self) {
         self.shared.draining.store(true, Ordering::Release);
         tracing::info!(
             event = events::DAEMON_DRAINING,
             in_flight = self.in_flight(),
-            "graceful stop begun"
+            "graceful stop started"
         );
     }
 
-    /// An engine refused `fence`, ours, as old: another preset is in force.
+    /// Records that an engine rejected this daemon's `fence` as stale: a newer preset is active.
     ///
-    /// Guards against serving on under a preset that is no longer in force
-    /// when this daemon alone is cut off from the platform: its health
-    /// check fails, and callers go to daemons that have the newer one,
-    /// until it has caught up.
+    /// Prevents serving with an outdated preset when only this daemon is cut off from the platform:
+    /// its health check fails until it has the newer preset, and callers go to daemons that have
+    /// it.
     pub(crate) fn record_stale_fence(&self, fence: Fence) {
         if self.shared.rejected_fence.swap(fence, Ordering::AcqRel) != fence {
             tracing::error!(
                 event = events::DAEMON_FENCE_STALE,
                 fence,
-                "a newer preset is in force"
+                "engine rejected the fencing token as stale; a newer preset is active"
             );
         }
     }
 
-    /// True while this daemon is known to hold an old preset.
+    /// Returns true while an engine's rejection shows that this daemon's preset is outdated.
     pub fn has_stale_fence(&self) -> bool {
         let at = self.shared.rejected_fence.load(Ordering::Acquire);
         at > 0 && self.shared.control.current().fence <= at
     }
 
-    /// True once a graceful stop has begun.
+    /// Returns true once a graceful stop has begun.
     pub fn is_draining(&self) -> bool {
         self.shared.draining.load(Ordering::Acquire)
     }
 
-    /// Requests in flight now.
+    /// Returns the number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.shared.in_flight.load(Ordering::Acquire)
     }
 
-    /// Waits until nothing is in flight or `limit` has passed; true when
-    /// all finished.
+    /// Waits until nothing is in flight or `timeout` has passed. Returns true if all requests
+    /// finished.
     pub async fn wait_until_drained(&self, timeout: Duration) -> bool {
         let deadline = Instant::now() + timeout;
         while self.in_flight() > 0 {
@@ -161,27 +159,25 @@
         true
     }
 
-    /// Counts one request in flight; the count before it, and the guard
-    /// that gives it back.
+    /// Counts one request in flight. Returns the count before it, and the guard that ends it.
     pub(crate) fn begin_request(&self) -> (u32, AdmissionGuard<P>) {
         let before = self.shared.in_flight.fetch_add(1, Ordering::AcqRel);
         (before, AdmissionGuard { daemon: self.clone() })
     }
 
-    /// A request id never used before, by this process or one before it
-    /// under the same daemon id.
+    /// Returns a request id that neither this process nor an earlier one with the same daemon id
+    /// has used.
     ///
-    /// Guards against crossed answers after a restart: without the
-    /// incarnation, a late line for the old process's request 7 would
-    /// match the new one's.
+    /// Prevents mixed-up responses after a restart: without the incarnation, a late response line
+    /// for request 7 of the old process would match request 7 of the new one.
     pub(crate) fn next_request_id(&self) -> RequestId {
         let settings = &self.shared.settings;
         let sequence = self.shared.next_sequence.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{sequence}", settings.daemon_id, settings.incarnation)
     }
 
-    /// The waiting room of `model`. Call only for models that have
-    /// servers: a room is kept for good.
+    /// Returns the admission queue of `model`. Must be called only for models that have servers,
+    /// because a queue is kept until the process stops.
     pub(crate) fn queue(&self, model: &str) -> Arc<AdmissionQueue> {
         let mut queues = self.shared.queues.lock().expect("queues lock");
         if let Some(queue) = queues.get(model) {
@@ -190,7 +186,7 @@
         Arc::clone(queues.entry(model.to_owned()).or_default())
     }
 
-    /// Requests waiting for room now, all models.
+    /// Returns the number of requests queued for capacity, over all models.
     pub fn waiting(&self) -> usize {
         let queues = self.shared.queues.lock().expect("queues lock");
         queues.values().map(|queue| queue.len()).sum()
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -1,10 +1,9 @@
-//! The idempotency ledger: records in the platform's table that make a
-//! non-idempotent call (a booking, an invoice-bearing action) run at most
-//! once, whatever retries, races and lost replies come.
+//! The idempotency ledger: records in a platform table that make a non-idempotent call (such as a
+//! booking or an action that is invoiced) run at most once despite retries, races and lost replies.
 //!
-//! A daemon claims a key with a conditional write before it sends the
-//! call, and records the outcome after. A retry of a finished call gets
-//! the recorded answer; a retry while the outcome is unknown is told so.
+//! A daemon claims a key with a conditional write before it sends the call, and records the
+//! outcome afterwards. A retry of a finished call gets the recorded response. A retry while the
+//! outcome is unknown gets an error that says so.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU64;
@@ -21,55 +20,54 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// Claims before giving up on a key that keeps changing under us.
+/// How often a claim is tried on a key that other writers keep changing.
 const CLAIM_ATTEMPTS: usize = 3;
-/// Tries to settle a claim whose outcome the platform never told.
+/// Attempts to release a claim whose write the platform did not confirm.
 const RELEASE_ATTEMPTS: u32 = 12;
-/// The pause before the first of them; each next one is longer.
+/// The delay before the first of these attempts. It grows with each attempt.
 const RELEASE_DELAY: Duration = Duration::from_millis(500);
 
-/// What a claim on a key came to.
+/// The outcome of claiming a key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Claim {
-    /// This daemon holds the key at `version`: it may send the call.
+    /// This daemon holds the key at `version` and may send the call.
     Claimed { version: RowVersion },
-    /// The call already ran; give the caller this answer again.
+    /// The call has already run. The caller gets this response again.
     Replay { status: u16, body: String },
     /// Another attempt holds the key and its outcome is not known yet.
     InProgress,
 }
 
-/// The records of one platform table service.
+/// The idempotency records of one platform table service.
 #[derive(Debug, Clone)]
 pub struct IdempotencyLedger {
     platform: PlatformClient,
-    /// Daemon id and incarnation: no two processes share it.
+    /// Daemon id and incarnation, which no two processes share.
     claimant: Arc<str>,
     next_claim: Arc<AtomicU64>,
 }
 
 impl IdempotencyLedger {
-    /// The ledger of daemon `daemon_id` in its run `incarnation`.
+    /// Creates the ledger of daemon `daemon_id` in its run `incarnation`.
     pub fn new(platform: PlatformClient, daemon_id: &str, incarnation: u64) -> Self {
         let claimant = format!("{daemon_id}-{incarnation:x}").into();
         IdempotencyLedger { platform, claimant, next_claim: Arc::new(AtomicU64::new(0)) }
     }
 
-    /// The record's key for `key` of `organisation`: keys of different
-    /// organisations never meet.
+    /// Returns the record key for `key` of `organisation`. Keys of different organisations never
+    /// collide.
     pub fn record_key(organisation: &str, key: &str) -> String {
         format!("{organisation}/{key}")
     }
 
-    /// Claims `record_key`, or says why not.
+    /// Claims `record_key`, or returns why it cannot be claimed.
     ///
-    /// Guards against running twice: the claim is a conditional write on
-    /// the version read, so of two daemons racing for one key exactly one
-    /// writes. A reply that is lost is read back (`put_checked`), and the
-    /// claim's own number tells our write from another attempt's: without
-    /// it, two retries racing through one daemon wrote the same value, and
-    /// the loser, its conflict lost, took the winner's record for its own
-    /// and ran the call a second time.
+    /// Prevents a call from running twice: the claim is a conditional write on the version read,
+    /// so exactly one of two daemons racing for a key writes it. After a lost reply the row is read
+    /// back (`put_checked`), and the claim number distinguishes this write from that of another
+    /// attempt. Without the number, two retries racing through one daemon write the same value, and
+    /// the loser, if its conflict reply is lost, mistakes the winner's record for its own and runs
+    /// the call a second time.
     pub async fn claim(&self, record_key: &str) -> Result<Claim, WireError> {
         let number = self.next_claim.fetch_add(1, Ordering::Relaxed);
         let started = IdempotencyRecord::Started { claim: format!("{}-{number}", self.claimant) };
@@ -103,9 +101,8 @@
         Ok(Claim::InProgress)
     }
 
-    /// Records the outcome of a claimed call at `version`. A failure here
-    /// leaves the record `Started`: retries are told the outcome is
-    /// unknown, never run again.
+    /// Records the outcome of a call claimed at `version`. If this fails, the record stays
+    /// `Started`: retries get the error that the outcome is unknown and never run again.
     pub async fn finish(&self, record_key: &str, version: RowVersion, record: &IdempotencyRecord) {
         match self.platform.put_checked(IDEMPOTENCY_TABLE, record_key, version, record).await {
             Ok(WriteOutcome::Written(_)) => {}
@@ -113,21 +110,21 @@
                 tracing::error!(
                     record_key,
                     current_version,
-                    "idempotency record moved under its holder"
+                    "idempotency record was changed by another writer while claimed"
                 );
             }
             Err(error) => {
-                tracing::warn!(record_key, %error, "idempotency outcome not recorded; stays unknown")
+                tracing::warn!(record_key, %error, "call outcome not recorded; it stays unknown")
             }
         }
     }
 
-    /// Frees a key whose claim may have been written though we told the
-    /// caller that nothing ran.
+    /// Releases, in the background, a claim that may have been written although the caller was
+    /// told that nothing ran.
     ///
-    /// Guards against a key stuck for good: the platform went down between
-    /// our write and its reply, the caller was refused ("not run"), and
-    /// its retry would find a claim that nobody will ever finish.
+    /// Prevents a key from being blocked forever: if the platform fails between the write and its
+    /// reply, the caller is rejected ("not run"), and its retry would find a claim that no daemon
+    /// will ever finish.
     fn release_unconfirmed(&self, record_key: &str, started: IdempotencyRecord) {
         let ledger = self.clone();
         let record_key = record_key.to_owned();
@@ -138,19 +135,19 @@
                     return;
                 }
             }
-            tracing::warn!(record_key, "claim not settled; its outcome stays unknown");
+            tracing::warn!(record_key, "unconfirmed claim not released; its outcome stays unknown");
         });
     }
 
-    /// Marks `record_key` as not run if it still holds our own claim.
+    /// Marks `record_key` as not run if it still holds the claim `started`.
     async fn release(
         &self,
         record_key: &str,
         started: &IdempotencyRecord,
     ) -> Result<(), WireError> {
         let row = self.platform.get(IDEMPOTENCY_TABLE, record_key).await?;
-        // With no row yet, the write may still be applied late: a record
-        // at version 1 makes its condition fail.
+        // If there is no row yet, the claim may still be written late: a record at version 1 makes
+        // its condition fail.
         let version = match row {
             None => 0,
             Some(row) if holds(&row.value, started) => row.version,
@@ -164,7 +161,7 @@
     }
 }
 
-/// True when `value` is the record `expected`.
+/// Returns true if `value` is the record `expected`.
 fn holds(value: &serde_json::Value, expected: &IdempotencyRecord) -> bool {
     IdempotencyRecord::deserialize(value).is_ok_and(|record| record == *expected)
 }
--- a/crates/router/src/leader/cleaner.rs
+++ b/crates/router/src/leader/cleaner.rs
@@ -1,5 +1,4 @@
-//! The sweeper: while this daemon holds the duty, it clears away
-//! idempotency records past their retention.
+//! Removes idempotency records past their retention while this daemon is the leader.
 
 use std::time::Duration;
 
@@ -13,34 +12,32 @@
 use crate::events;
 use crate::platform::PlatformClient;
 
-/// Records looked at in one step: one read, and one write at most.
+/// Records checked in one batch, which takes one read and at most one write.
 const BATCH_ROWS: usize = 100;
-/// Steps of one round; with a round each beat (5 s), 60 records a second
-/// are looked at.
+/// Batches in one round. With one round per heartbeat (5 s), 60 records a second are checked.
 const BATCHES_PER_ROUND: usize = 3;
 
-/// Goes round the records a step at a time.
+/// Goes through the records in batches, starting again at the end of the table.
 #[derive(Debug)]
 pub struct RecordCleaner {
     platform: PlatformClient,
-    /// How long a record outlives its last write. A retry that comes later
-    /// is taken for a new call.
+    /// How long a record is kept after its last write. A later retry is treated as a new call.
     retention: Duration,
-    /// Where the next step begins; empty at the start of the table.
+    /// The key at which the next batch starts; empty at the start of the table.
     cursor: String,
 }
 
 impl RecordCleaner {
-    /// A sweeper at the start of the table.
+    /// Creates a cleaner positioned at the start of the table.
     pub fn new(platform: PlatformClient, retention: Duration) -> Self {
         RecordCleaner { platform, retention, cursor: String::new() }
     }
 
-    /// One round: some steps, until the end of the table.
+    /// Cleans up to [`BATCHES_PER_ROUND`] batches, stopping at the end of the table.
     pub async fn run_round(&mut self) {
         for _ in 0..BATCHES_PER_ROUND {
             if let Err(error) = self.clean_batch().await {
-                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "idempotency records", %error, "not swept");
+                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "idempotency records", %error, "old idempotency records not removed");
                 return;
             }
             if self.cursor.is_empty() {
@@ -49,9 +46,9 @@
         }
     }
 
-    /// Looks at the next records and removes the old ones. A record that
-    /// moved on meanwhile makes the removal fail as a whole: it is met
-    /// again on the next way round.
+    /// Checks the next records and removes the expired ones. If one of them changed in the
+    /// meantime, the whole removal fails and the records are checked again in the next pass over
+    /// the table.
     async fn clean_batch(&mut self) -> Result<(), WireError> {
         let list = self.platform.list_from(IDEMPOTENCY_TABLE, &self.cursor, BATCH_ROWS).await?;
         self.cursor = next_cursor(&list);
@@ -67,7 +64,11 @@
         let count = rows.len();
         match self.platform.remove_all(IDEMPOTENCY_TABLE, &RowRemovals { rows }).await {
             Ok(()) => {
-                tracing::info!(event = events::RECORDS_REMOVED, count, "old records removed");
+                tracing::info!(
+                    event = events::RECORDS_REMOVED,
+                    count,
+                    "expired idempotency records removed"
+                );
                 Ok(())
             }
             Err(error) if error.status() == Some(409) => Ok(()),
@@ -75,14 +76,14 @@
         }
     }
 
-    /// Whether `row` is past its retention, by the table service's clock.
+    /// Returns true if `row` is past its retention, by the table service's clock.
     fn is_expired(&self, row: &Row, now_ms: u64) -> bool {
         now_ms.saturating_sub(row.written_ms) >= self.retention.as_millis() as u64
     }
 }
 
-/// Just after the last row of a full page; the start again after the last
-/// page.
+/// Returns the key just after the last row of a full page, or the start of the table after the
+/// last page.
 fn next_cursor(list: &RowList) -> String {
     match list.rows.last() {
         Some(last) if list.rows.len() == BATCH_ROWS => format!("{}\u{1}", last.key),
--- a/crates/router/src/leader/controller.rs
+++ b/crates/router/src/leader/controller.rs
@@ -1,5 +1,5 @@
-//! The keeper: while this daemon holds the duty, it sees to it that
-//! servers have the roles operators want and old records go.
+//! The leader's loop: orders servers into the roles that operators requested and removes old
+//! records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,28 +20,28 @@
 use crate::control::ServerSlot;
 use crate::events;
 
-/// Bound on reading a report and on sending an order.
+/// Timeout of reading a report and of sending an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A daemon that does not hold the duty looks at it each so many beats.
+/// How many heartbeat intervals pass between a non-leader's checks of the leader lease.
 const HEARTBEATS_PER_CHECK: u32 = 2;
 
-/// Holds or contends for the duty and acts on it.
+/// Acquires or renews the leader lease and performs the leader's tasks while it is held.
 #[derive(Debug)]
 pub struct LeaderController {
     pub lease: LeaderLease,
     pub cleaner: RecordCleaner,
     pub control: Arc<ControlState>,
     pub daemon: String,
-    /// How often the holder renews and acts.
+    /// How often the leader renews its lease and performs its tasks.
     pub interval: Duration,
 }
 
 impl LeaderController {
-    /// Keeps until the process ends.
+    /// Runs until the process stops.
     pub async fn run(mut self) {
         loop {
             if let Err(error) = self.lease.acquire_or_renew().await {
-                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "duty", %error, "duty not renewed");
+                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "duty", %error, "leader lease not renewed");
             }
             if self.lease.is_held() {
                 self.order_roles().await;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Orders each server whose role is not the one wanted.
+    /// Sends a role order to each live server whose role is not the requested one.
     async fn order_roles(&self) {
         let snapshot = self.control.current();
         for slot in snapshot.servers.iter() {
@@ -75,9 +75,9 @@
         if report.busy || report.role == role {
             return Ok(());
         }
-        // Asked after the report was read: a pause in between is noticed.
+        // The lease is checked after the report was read, so that a pause during the read counts.
         let Some(fence) = self.lease.fence() else {
-            tracing::warn!(event = events::ORDER_WITHHELD, server = %slot.entry.server, "lease too old");
+            tracing::warn!(event = events::ORDER_WITHHELD, server = %slot.entry.server, "role order not sent: leader lease too old");
             return Ok(());
         };
         let order = EngineOrder {
@@ -86,7 +86,7 @@
             fence,
             expected_sequence: report.sequence,
         };
-        tracing::info!(event = events::ORDER_SENT, server = %slot.entry.server, %role, fence, sequence = report.sequence, "role ordered");
+        tracing::info!(event = events::ORDER_SENT, server = %slot.entry.server, %role, fence, sequence = report.sequence, "role order sent");
         let _: OrderReply =
             client.call("send order", Method::POST, "/v1/order", Some(&order)).await?;
         Ok(())
--- a/crates/router/src/leader/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on the duty.
+//! The lease on the leadership.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,15 +15,15 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// The duty as held by this daemon.
+/// The leader lease while this daemon holds it.
 #[derive(Debug, Clone, Copy)]
 struct HeldLease {
     fence: Fence,
-    /// When the write that renewed it was started_at.
+    /// When the write that last renewed the lease started.
     started_at: Instant,
 }
 
-/// This daemon's part in the duty.
+/// This daemon's handle on the leader lease.
 #[derive(Debug)]
 pub struct LeaderLease {
     platform: PlatformClient,
@@ -34,7 +34,7 @@
 }
 
 impl LeaderLease {
-    /// A lease not held, lasting `lease` from each renewal.
+    /// Creates a handle that does not hold the lease. The lease lasts `lease` from each renewal.
     pub fn new(
         platform: PlatformClient,
         daemon: DaemonId,
@@ -44,24 +44,23 @@
         LeaderLease { platform, daemon, incarnation, lease, held: None }
     }
 
-    /// The fencing number to order under, while this daemon may order.
+    /// Returns the fencing token for orders while this daemon may send them.
     ///
-    /// Guards against a holder that was paused and wakes still believing
-    /// that it holds the duty, at engines that ignore fencing numbers: the
-    /// age is taken at each question, and an order is withheld once two
-    /// thirds of the lease have gone, a third before another daemon can
-    /// take the duty.
+    /// Prevents orders from a leader that resumes after a pause and still considers itself the
+    /// leader, at engines that ignore fencing tokens: each call measures the age of the lease, and
+    /// returns no token once two thirds of it have passed, one third before another daemon can
+    /// take over.
     pub fn fence(&self) -> Option<Fence> {
         let held = self.held?;
         (held.started_at.elapsed() < self.lease * 2 / 3).then_some(held.fence)
     }
 
-    /// True while this daemon last saw itself as the holder.
+    /// Returns true if this daemon held the lease at its last check.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Renews the duty if ours, takes it if lapsed, else leaves it.
+    /// Renews the lease if this daemon holds it and acquires it if it has expired.
     pub async fn acquire_or_renew(&mut self) -> Result<(), WireError> {
         let started_at = Instant::now();
         let list = self.platform.list(DUTY_TABLE).await?;
@@ -89,7 +88,7 @@
                         event = events::LEADER_CHANGED,
                         holds = true,
                         fence = row.version,
-                        "duty taken"
+                        "leadership acquired"
                     );
                 }
                 self.held = Some(HeldLease { fence: row.version, started_at });
@@ -101,7 +100,7 @@
 
     fn mark_lost(&mut self) {
         if self.held.take().is_some() {
-            tracing::info!(event = events::LEADER_CHANGED, holds = false, "duty lost");
+            tracing::info!(event = events::LEADER_CHANGED, holds = false, "leadership lost");
         }
     }
 
--- a/crates/router/src/leader/mod.rs
+++ b/crates/router/src/leader/mod.rs
@@ -1,10 +1,9 @@
-//! The duty: one daemon at a time may order backend servers about and
-//! clears away what the fleet leaves behind in the table.
+//! Leadership: one daemon at a time, the leader, may send orders to backend servers, and removes
+//! old records from the platform's tables.
 //!
-//! Who holds it stands in one row of the platform's table service; the
-//! row's version is the fencing number of every order. There is no
-//! election: a daemon takes the duty when the row is older than the lease
-//! by the service's own clock, with a conditional write only one can win.
+//! One row of the platform's table service names the leader, and the row's version is the fencing
+//! token of every order. There is no election protocol: when the row is older than the lease by
+//! the service's own clock, daemons try a conditional write, which only one of them can win.
 
 mod cleaner;
 mod controller;
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,14 +1,13 @@
-//! The umberglade daemon's logic: it admits callers' requests, places each
-//! on a prefill and a decode server, streams the answer back and follows
-//! the preset in force from the platform's table service.
+//! The logic of the umberglade daemon: it admits callers' requests, places each on a prefill and a
+//! decode server, streams the response back and follows the active preset in the platform's table
+//! service.
 //!
-//! Modules, in the order a request meets them: [`front`] (the HTTP
-//! front), [`admission`] (what bounds the work taken on), [`pipeline`] (one
-//! request end to end), [`placement`] (which server). Beside them:
-//! [`control`] (what is in force), [`membership`] (which daemons there
-//! are), [`duty`] (who may order servers about), [`platform`] (the table
-//! service client), [`preset`] (the configuration format), [`operator`]
-//! (what `umberctl` does).
+//! The modules in the order a request passes through them: [`front`] (the HTTP front),
+//! [`admission`] (limits on accepted work), [`pipeline`] (one request end to end) and
+//! [`placement`] (the choice of servers). Beside them: [`control`] (the active configuration),
+//! [`membership`] (the live daemons), [`leader`] (the daemon that may send orders to servers),
+//! [`platform`] (the client of the table service), [`preset`] (the configuration format) and
+//! [`operator`] (the actions of `umberctl`).
 
 pub mod admission;
 pub mod control;
--- a/crates/router/src/membership/heartbeat.rs
+++ b/crates/router/src/membership/heartbeat.rs
@@ -1,5 +1,5 @@
-//! The beat: renews this daemon's row, reads the others', clears away rows
-//! of daemons long gone.
+//! The heartbeat: renews this daemon's row, reads the rows of its peers and removes the rows of
+//! daemons that are long gone.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,38 +16,38 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// Beats between two reads of the whole table. At 340 daemons the table is
-/// some 70 KB: read each sixth beat it costs 2.3 KB a second, read at each
-/// it would take the whole control budget.
+/// Heartbeats between two reads of the full table. With 340 daemons the table is about 70 KB:
+/// reading it every sixth heartbeat costs 2.3 KB a second, and reading it at every heartbeat would
+/// use up the whole bandwidth budget for control traffic.
 const HEARTBEATS_PER_READ: u32 = 6;
-/// A row this many leases old belongs to a daemon long gone.
+/// The age, in leases, at which a row counts as left behind by a daemon that is gone.
 const REMOVAL_AGE_LEASES: u32 = 20;
 
-/// Renews the membership of `daemon`, which serves at `addr`.
+/// Renews the membership of `daemon`.
 #[derive(Debug)]
 pub struct Heartbeat<P> {
     pub daemon: Daemon<P>,
     pub platform: PlatformClient,
-    /// Where the daemon listens.
+    /// The address the daemon listens on.
     pub addr: String,
-    /// Version of our row as last written.
+    /// The version of this daemon's row as last written.
     version: RowVersion,
     was_live: bool,
 }
 
 impl<P> Heartbeat<P> {
-    /// A beat that has not written yet.
+    /// Creates a heartbeat that has not written yet.
     pub fn new(daemon: Daemon<P>, platform: PlatformClient, addr: String) -> Self {
         Heartbeat { daemon, platform, addr, version: 0, was_live: false }
     }
 
-    /// Beats until the process ends.
+    /// Sends heartbeats until the process stops.
     pub async fn run(mut self) {
         let interval = self.daemon.shared.settings.heartbeat_interval;
         let mut count: u32 = 0;
         loop {
             if let Err(error) = self.renew().await {
-                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "member lease", %error, "lease not renewed");
+                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "member lease", %error, "membership lease not renewed");
             }
             self.log_lease_change();
             if count.is_multiple_of(HEARTBEATS_PER_READ) {
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Writes our row. On a conflict another write under our id came in
-    /// between (ours, applied late, or an earlier run's): its version is
-    /// read and the row written over it.
+    /// Writes this daemon's row. A conflict means that another write under the same id came first
+    /// (a write of this run applied late, or one of an earlier run); the row is then written over
+    /// the version that the conflict reports.
     async fn renew(&mut self) -> Result<(), WireError> {
         let started_at = Instant::now();
         let record = self.record();
@@ -95,7 +95,11 @@
     fn log_lease_change(&mut self) {
         let is_live = self.daemon.shared.members.is_local_lease_live();
         if is_live != self.was_live {
-            tracing::info!(event = events::MEMBER_LEASE_CHANGED, is_live, "own lease changed");
+            tracing::info!(
+                event = events::MEMBER_LEASE_CHANGED,
+                is_live,
+                "own membership lease became live or expired"
+            );
         }
         self.was_live = is_live;
     }
@@ -107,13 +111,13 @@
                 self.remove_expired_member(&list).await;
             }
             Err(error) => {
-                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "members", %error, "members not read");
+                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "members", %error, "members table not read");
             }
         }
     }
 
-    /// Removes at most one row long lapsed, and only one reader in so many
-    /// does, so that the whole fleet makes about one removal a round.
+    /// Removes at most one row that expired long ago. Each daemon does so with probability
+    /// 1 / live daemons, so that all of them together make about one removal per round.
     async fn remove_expired_member(&self, list: &RowList) {
         let members = &self.daemon.shared.members;
         let readers = members.live_count().max(1);
@@ -126,13 +130,13 @@
             return;
         }
         if let Err(error) = self.platform.remove(MEMBERS_TABLE, &row.key, row.version).await {
-            tracing::debug!(%error, member = %row.key, "lapsed member not removed");
+            tracing::debug!(%error, member = %row.key, "expired member row not removed");
         }
     }
 }
 
-/// `period` give or take a tenth, so that daemons started together do not
-/// write together for good.
+/// Returns `period` with a jitter of ±10 %, so that daemons started together do not keep writing
+/// at the same moment.
 fn jittered(period: Duration) -> Duration {
     period.mul_f64(0.9 + fastrand::f64() * 0.2)
 }
--- a/crates/router/src/membership/mod.rs
+++ b/crates/router/src/membership/mod.rs
@@ -1,9 +1,8 @@
-//! Membership between daemons: each renews its own row in the platform's
-//! `members` table and now and then reads the others'.
+//! Membership of daemons: each daemon renews its own row in the platform's `members` table and
+//! periodically reads the rows of its peers.
 //!
-//! There is no failure detector between daemons and no message from one to
-//! another. A row's age is judged by the table service's own steady clock,
-//! so no two machines' clocks are ever compared.
+//! Daemons run no failure detector and send each other no messages. The age of a row is measured
+//! by the table service's own monotonic clock, so the clocks of two machines are never compared.
 
 mod heartbeat;
 mod view;
@@ -11,5 +10,5 @@
 pub use self::heartbeat::Heartbeat;
 pub use self::view::MemberView;
 
-/// A lease lasts this many beats: two may be lost.
+/// The duration of a lease in heartbeats. Two heartbeats in a row may be lost.
 pub const LEASE_HEARTBEATS: u32 = 3;
--- a/crates/router/src/membership/view.rs
+++ b/crates/router/src/membership/view.rs
@@ -1,4 +1,4 @@
-//! What this daemon knows of the others, and of its own lease.
+//! This daemon's view of its peers and of its own lease.
 
 use std::collections::BTreeSet;
 use std::sync::Mutex;
@@ -14,12 +14,12 @@
 
 #[derive(Debug, Default)]
 struct ViewState {
-    /// When the write that renewed our lease last was begun.
+    /// When the write that last renewed the local lease started.
     renewed_at: Option<Instant>,
     live: Vec<MemberRecord>,
 }
 
-/// The members as last read. One lock, held to copy a few words.
+/// The members as last read. The lock is held only to copy a few words.
 #[derive(Debug)]
 pub struct MemberView {
     lease: Duration,
@@ -27,38 +27,37 @@
 }
 
 impl MemberView {
-    /// A view with nothing read, of leases that last `lease`.
+    /// Creates an empty view of leases with the duration `lease`.
     pub fn new(lease: Duration) -> Self {
         MemberView { lease, state: Mutex::new(ViewState::default()) }
     }
 
-    /// How long a lease lasts.
+    /// Returns the duration of a lease.
     pub fn lease(&self) -> Duration {
         self.lease
     }
 
-    /// Daemons whose lease was live when last read.
+    /// Returns the number of daemons whose lease was live at the last read.
     pub fn live_count(&self) -> usize {
         self.state.lock().expect("view lock").live.len()
     }
 
-    /// True while this daemon's own lease is live.
+    /// Returns true while this daemon's own lease is live.
     ///
-    /// Guards against a daemon that was paused past its lease and wakes
-    /// still believing that it holds it: the age is taken from this
-    /// machine's steady clock at each question, from before the renewing
-    /// write was sent, so no belief outlives the lease.
+    /// Prevents a daemon that was paused past its lease from treating it as live when it resumes:
+    /// each call measures the age on this machine's monotonic clock, starting before the renewing
+    /// write was sent, so the local lease never outlasts the stored one.
     pub fn is_local_lease_live(&self) -> bool {
         let renewed_at = self.state.lock().expect("view lock").renewed_at;
         renewed_at.is_some_and(|at| at.elapsed() < self.lease)
     }
 
-    /// Our row was written by a call begun at `begun`.
+    /// Records that the call started at `started_at` renewed this daemon's row.
     pub fn record_renewal(&self, started_at: Instant) {
         self.state.lock().expect("view lock").renewed_at = Some(started_at);
     }
 
-    /// Takes in the members table; logs when the set of live ones changed.
+    /// Applies a read of the members table. Logs when the set of live daemons changed.
     pub fn update(&self, list: &RowList) {
         let live: Vec<MemberRecord> = list
             .rows
@@ -77,15 +76,15 @@
                 live = live.len(),
                 ?joined,
                 ?lapsed,
-                "members changed"
+                "live members changed"
             );
         }
         state.live = live;
     }
 }
 
-/// True when `row` was renewed within `lease` before `now_ms`, both by the
-/// table service's clock.
+/// Returns true if `row` was renewed less than `lease` before `now_ms`, by the table service's
+/// clock.
 pub fn is_live(row: &Row, now_ms: u64, lease: Duration) -> bool {
     now_ms.saturating_sub(row.written_ms) < lease.as_millis() as u64
 }
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -1,9 +1,9 @@
-//! Operators' actions on the platform's table: the logic behind
-//! `umberctl`, shared with `umberglade dev` for seeding.
+//! Operators' actions on the platform's tables: the logic of `umberctl`, which `umberglade dev`
+//! also uses to write its initial rows.
 //!
-//! Every action is a conditional write on a version the operator read, so
-//! two shifts acting at the same moment get one winner and one
-//! [`OperatorError::Conflict`], never a silent overwrite.
+//! Every action is a conditional write on a version that was read before. If two operators act at
+//! the same time, one write succeeds and the other returns [`OperatorError::Conflict`]; neither is
+//! silently overwritten.
 
 mod snapshot;
 
@@ -35,11 +35,11 @@
 use crate::preset::Preset;
 use crate::preset::PresetError;
 
-/// Why an operator's action did not take effect.
+/// The reason an operator's action did not take effect.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum OperatorError {
-    /// The platform could not be reached or refused the call.
+    /// The platform could not be reached or rejected the call.
     #[snafu(display("{step}: {source}"))]
     Platform { step: &'static str, source: WireError },
     /// Another operator changed the row first; nothing was written.
@@ -56,31 +56,31 @@
     /// The named snapshot does not exist.
     #[snafu(display("no snapshot named `{name}`"))]
     NoSuchSnapshot { name: String },
-    /// A row in the table is not of the shape this version expects.
+    /// A row in the table does not have the fields this version expects.
     #[snafu(display("row {what} is malformed: {message}"))]
     Malformed { what: String, message: String },
 }
 
-/// One daemon as its membership row shows it.
+/// One daemon according to its membership row.
 #[derive(Debug, Clone)]
 pub struct MemberInfo {
     pub record: MemberRecord,
-    /// Since its last renewal, by the table service's clock.
+    /// The time since its last renewal, by the table service's clock.
     pub age: Duration,
     pub is_live: bool,
 }
 
-/// The operators' side of the platform's table.
+/// Performs operators' actions on the platform's tables.
 #[derive(Debug, Clone)]
 pub struct OperatorActions {
     pub platform: PlatformClient,
-    /// Who acts, for the audit trail (`"night-shift/alice"`).
+    /// The name of the operator for the audit trail (`"night-shift/alice"`).
     pub actor: String,
 }
 
 impl OperatorActions {
-    /// Writes preset `name` from TOML `text` after checking it.
-    /// `expect_version` is the version the operator read (0: a new preset).
+    /// Validates the TOML `text` and writes it as preset `name`. `expect_version` is the version
+    /// the operator read, or 0 for a new preset.
     pub async fn put_preset(
         &self,
         name: &str,
@@ -96,9 +96,9 @@
         into_row(outcome, format!("preset `{name}`"))
     }
 
-    /// Puts preset `name`, as it stands now, in force everywhere.
-    /// `expect_active` is the version of the active row the operator saw;
-    /// if another shift activated something since, this is a conflict.
+    /// Activates preset `name`, as currently stored, on all daemons. `expect_active` is the version
+    /// of the active row that the operator read. If another preset was activated since, this
+    /// returns a conflict.
     pub async fn activate(
         &self,
         name: &str,
@@ -121,10 +121,10 @@
             .put_checked(CONTROL_TABLE, ACTIVE_KEY, expect_active, &active)
             .await
             .map_err(|source| OperatorError::Platform { step: "activate preset", source })?;
-        into_row(outcome, "the preset in force".to_owned())
+        into_row(outcome, "the active preset".to_owned())
     }
 
-    /// The active row, if any preset was ever activated.
+    /// Returns the active preset and its row's version, or `None` if none was ever activated.
     pub async fn active(&self) -> Result<Option<(RowVersion, ActivePreset)>, OperatorError> {
         let row = self
             .platform
@@ -140,8 +140,8 @@
         Ok(Some((row.version, active)))
     }
 
-    /// Adds or replaces organisation `name` with `api_keys`, retrying on a
-    /// conflict with a fresh read (the change is a merge, not a blind put).
+    /// Adds organisation `name` with `api_keys`, or replaces it. On a conflict the row is read and
+    /// changed again, so the other organisations are kept.
     pub async fn set_organisation(
         &self,
         name: &str,
@@ -154,7 +154,7 @@
         .await
     }
 
-    /// Drains backend server `server`: daemons send it no new work.
+    /// Drains backend server `server`: daemons send it no new requests.
     pub async fn drain(&self, server: &str) -> Result<Row, OperatorError> {
         let order = DrainOrder { server: server.to_owned(), by: self.actor.clone() };
         self.update_control_row::<DrainBook>(DRAINS_KEY, |book| {
@@ -171,7 +171,7 @@
         .await
     }
 
-    /// Asks for `server` to serve `role`; the holder of the duty orders it.
+    /// Requests that `server` serves `role`. The leader then sends the order.
     pub async fn set_role_order(
         &self,
         server: &str,
@@ -184,7 +184,7 @@
         .await
     }
 
-    /// Every daemon's membership row, and which leases are live.
+    /// Returns every daemon's membership row and whether its lease is live.
     pub async fn members(&self, lease: Duration) -> Result<Vec<MemberInfo>, OperatorError> {
         let list = self
             .platform
@@ -203,7 +203,8 @@
         Ok(members)
     }
 
-    /// Read, change, conditional write; on a conflict, read again. Bounded.
+    /// Reads row `key`, applies `change` and writes it conditionally. On a conflict it starts over,
+    /// up to a fixed number of attempts.
     async fn update_control_row<T>(
         &self,
         key: &'static str,
--- a/crates/router/src/operator/snapshot.rs
+++ b/crates/router/src/operator/snapshot.rs
@@ -1,5 +1,4 @@
-//! Snapshots: a copy of what operators have set, kept in the platform's
-//! object store.
+//! Snapshots: copies of the rows that operators have set, kept in the platform's object store.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -13,21 +12,20 @@
 use super::OperatorError;
 use super::into_row;
 
-/// Where snapshots stand in the object store.
+/// The prefix of snapshot names in the object store.
 const SNAPSHOT_PREFIX: &str = "snapshots/";
 
-/// What a snapshot holds.
+/// The contents of a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SnapshotContents {
-    /// Who saved it.
+    /// The operator who saved it.
     pub by: String,
     pub presets: Vec<Row>,
     pub control: Vec<Row>,
 }
 
 impl OperatorActions {
-    /// Saves every preset and control row as snapshot `name`; returns how
-    /// many rows it holds.
+    /// Saves all preset and control rows as snapshot `name`. Returns the number of rows saved.
     pub async fn save_snapshot(&self, name: &str) -> Result<usize, OperatorError> {
         let presets = self.rows(PRESETS_TABLE).await?;
         let control = self.rows(CONTROL_TABLE).await?;
@@ -41,7 +39,7 @@
         Ok(count)
     }
 
-    /// Names of the snapshots there are.
+    /// Returns the names of all snapshots.
     pub async fn list_snapshots(&self) -> Result<Vec<String>, OperatorError> {
         let list = self
             .platform
@@ -52,10 +50,9 @@
         Ok(list.names.iter().map(short).collect())
     }
 
-    /// Writes the rows of snapshot `name` back where they differ, each as a
-    /// new version conditional on the one read just before: daemons take
-    /// them as any other change, and a shift that acts meanwhile makes
-    /// this a conflict. Returns how many rows were written.
+    /// Writes back the rows of snapshot `name` that differ, each as a new version conditional on
+    /// the one just read. Daemons apply them like any other change, and an operator who changes a
+    /// row in the meantime causes a conflict. Returns the number of rows written.
     pub async fn restore_snapshot(&self, name: &str) -> Result<usize, OperatorError> {
         let body = self
             .platform
--- a/crates/router/src/platform/client.rs
+++ b/crates/router/src/platform/client.rs
@@ -17,37 +17,36 @@
 use umberglade_wire::platform::RowRemovals;
 use umberglade_wire::platform::RowWrite;
 
-/// What stays as it is in a path segment; all else is percent-encoded.
+/// The characters to percent-encode in a path segment: all but the unreserved ones.
 ///
-/// Guards against a key that holds a `/` (an idempotency record's key is
-/// `organisation/key`): unencoded it reads as two segments, the service
-/// answers 404, and no non-idempotent call can ever be claimed.
+/// A key may contain a `/` (an idempotency record's key is `organisation/key`). Unencoded, it would
+/// be parsed as two segments, the service would respond 404, and no non-idempotent call could be
+/// claimed.
 const PATH_SEGMENT: &AsciiSet =
     &NON_ALPHANUMERIC.remove(b'-').remove(b'_').remove(b'.').remove(b'~');
 
-/// What a conditional write came to.
+/// The outcome of a conditional write.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WriteOutcome {
-    /// The write took effect; the row is now at this version.
+    /// The write took effect and left this row.
     Written(Row),
-    /// Another writer got there first; the row is at this version.
+    /// The row is at another version, because another writer came first.
     Conflict { current_version: RowVersion },
 }
 
-/// The platform's table service at one address.
+/// A client of the platform's table service and object store at one address.
 #[derive(Debug, Clone)]
 pub struct PlatformClient {
     http: HttpClient,
 }
 
 impl PlatformClient {
-    /// A client of the service at `addr` (`host:port`), each call bounded
-    /// by `timeout`.
+    /// Creates a client of the service at `addr` (`host:port`) with a `timeout` for each call.
     pub fn new(addr: impl Into<String>, timeout: Duration) -> Self {
         PlatformClient { http: HttpClient::new(addr, timeout) }
     }
 
-    /// The row at `table`/`key`, or `None` when it does not exist.
+    /// Returns the row at `table`/`key`, or `None` if it does not exist.
     pub async fn get(&self, table: &str, key: &str) -> Result<Option<Row>, WireError> {
         let path = row_path(table, key);
         match self.http.call::<(), Row>("read row", Method::GET, &path, None).await {
@@ -57,13 +56,13 @@
         }
     }
 
-    /// Every row of `table`.
+    /// Returns all rows of `table`.
     pub async fn list(&self, table: &str) -> Result<RowList, WireError> {
         let path = format!("/v1/rows/{table}");
         self.http.call::<(), RowList>("list rows", Method::GET, &path, None).await
     }
 
-    /// At most `limit` rows of `table` from key `from` on.
+    /// Returns at most `limit` rows of `table`, starting at key `from`.
     pub async fn list_from(
         &self,
         table: &str,
@@ -75,20 +74,17 @@
         self.http.call::<(), RowList>("list rows", Method::GET, &path, None).await
     }
 
-    /// Removes every row of `removals` in one transaction, or none when one
-    /// has moved on.
+    /// Removes all rows of `removals` in one transaction, or none if one of them has changed.
     pub async fn remove_all(&self, table: &str, removals: &RowRemovals) -> Result<(), WireError> {
         let path = format!("/v1/rows/{table}/remove");
         let sent = self.http.call::<_, RowList>("remove rows", Method::POST, &path, Some(removals));
         sent.await.map(|_| ())
     }
 
-    /// Writes `value` to `table`/`key` if the row is still at
-    /// `expect_version` (0: must not exist).
+    /// Writes `value` to `table`/`key` if the row is still at `expect_version` (0: must not exist).
     ///
-    /// An unanswered write may have taken effect (a lost reply); this call
-    /// does not retry it blindly. The caller reads the row back and
-    /// decides, see [`PlatformClient::put_checked`].
+    /// A write without a reply may have taken effect and is not retried. The caller has to read the
+    /// row back, as [`PlatformClient::put_checked`] does.
     pub async fn put<T: Serialize>(
         &self,
         table: &str,
@@ -111,10 +107,9 @@
         }
     }
 
-    /// A conditional write that survives a lost reply: when the answer
-    /// never comes, it reads the row back. If the row now holds exactly
-    /// `value` at `expect_version + 1`, the write took effect; otherwise
-    /// the outcome is reported as the read found it.
+    /// Performs a conditional write and reads the row back if no reply arrives. If the row then
+    /// holds exactly `value` at `expect_version + 1`, the write took effect. Otherwise the result
+    /// follows from the row read.
     pub async fn put_checked<T: Serialize>(
         &self,
         table: &str,
@@ -127,7 +122,7 @@
             Err(error) if error.is_unanswered() => error,
             Err(error) => return Err(error),
         };
-        tracing::warn!(%error, table, key, "write unanswered; reading back");
+        tracing::warn!(%error, table, key, "no reply to a write; reading the row back");
         let wanted = serde_json::to_value(value).expect("serialising a row");
         match self.get(table, key).await? {
             Some(row) if row.version == expect_version + 1 && row.value == wanted => {
@@ -138,8 +133,7 @@
         }
     }
 
-    /// Removes the row at `table`/`key` if it is still at `version`; a row
-    /// that has moved on stays.
+    /// Removes the row at `table`/`key` if it is still at `version`. A row that has changed stays.
     pub async fn remove(
         &self,
         table: &str,
@@ -151,14 +145,14 @@
         self.http.read_whole("remove row", response).await.map(|_| ())
     }
 
-    /// Stores `body` as object `name`, replacing what was there.
+    /// Stores `body` as object `name`, replacing an existing object.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<(), WireError> {
         let path = object_path(name);
         let response = self.http.send("write object", Method::PUT, &path, Some(body)).await?;
         self.http.read_whole("write object", response).await.map(|_| ())
     }
 
-    /// Object `name`, or `None` when there is none.
+    /// Returns object `name`, or `None` if it does not exist.
     pub async fn get_object(&self, name: &str) -> Result<Option<Bytes>, WireError> {
         let path = object_path(name);
         let response = self.http.send("read object", Method::GET, &path, None).await?;
@@ -169,7 +163,7 @@
         }
     }
 
-    /// Names of objects that begin with `prefix`.
+    /// Returns the names of the objects that begin with `prefix`.
     pub async fn list_objects(&self, prefix: &str) -> Result<ObjectList, WireError> {
         let prefix = utf8_percent_encode(prefix, PATH_SEGMENT);
         let path = format!("/v1/objects?prefix={prefix}");
@@ -181,7 +175,7 @@
     format!("/v1/objects/{}", utf8_percent_encode(name, PATH_SEGMENT))
 }
 
-/// The path of row `table`/`key`, each part percent-encoded.
+/// Returns the path of row `table`/`key` with both segments percent-encoded.
 fn row_path(table: &str, key: &str) -> String {
     let table = utf8_percent_encode(table, PATH_SEGMENT);
     let key = utf8_percent_encode(key, PATH_SEGMENT);
--- a/crates/router/src/platform/feed.rs
+++ b/crates/router/src/platform/feed.rs
@@ -1,5 +1,5 @@
-//! Feeds of the platform: one open call at a time that answers as soon as
-//! something changed, so a change costs one read and no polling rate.
+//! The platform's feeds: long-polling calls, one open at a time, that are answered as soon as
+//! something changes. A change costs one read, with no polling in between.
 
 use std::time::Duration;
 
@@ -13,31 +13,29 @@
 use umberglade_wire::platform::FeedPage;
 use umberglade_wire::platform::InstanceList;
 
-/// What the client allows beyond the wait asked for before it takes the
-/// connection for dead.
+/// How long the client waits beyond the requested wait before it treats the connection as dead.
 const FEED_SLACK: Duration = Duration::from_secs(1);
 
-/// The changed rows of one table.
+/// The feed of changed rows of one table.
 #[derive(Debug)]
 pub struct TableFeed {
     client: KeptClient,
     table: &'static str,
-    /// The generation read last; 0 asks for every row.
+    /// The generation last read; 0 requests all rows.
     generation: u64,
 }
 
 impl TableFeed {
-    /// A feed of `table` at the platform at `addr`, from its beginning.
+    /// Creates a feed of `table` from its beginning, at the platform at `addr`.
     pub fn new(addr: impl Into<String>, table: &'static str) -> Self {
         TableFeed { client: KeptClient::new(addr), table, generation: 0 }
     }
 
-    /// The next changed rows; none after `wait` without a change.
+    /// Returns the next changed rows, or none after `wait` without a change.
     ///
-    /// Guards against a store that failed over to an older copy: it does
-    /// not know our generation (410) and the feed begins anew. Rows then
-    /// come again, older ones too; the reader keeps to the versions it
-    /// holds.
+    /// After a failover to an older copy the store does not know the generation and responds 410,
+    /// and the feed starts over. Rows are then delivered again, including older ones, so the reader
+    /// must ignore versions older than those it holds.
     pub async fn next(&mut self, wait: Duration) -> Result<FeedPage, WireError> {
         let path = format!(
             "/v1/feed/{}?after={}&wait_ms={}",
@@ -56,7 +54,7 @@
     }
 }
 
-/// The changes of the instance list.
+/// The feed of changes of the instance list.
 #[derive(Debug)]
 pub struct InstanceFeed {
     client: KeptClient,
@@ -64,13 +62,13 @@
 }
 
 impl InstanceFeed {
-    /// A feed of the instance list at the platform at `addr`.
+    /// Creates a feed of the instance list at the platform at `addr`.
     pub fn new(addr: impl Into<String>) -> Self {
         InstanceFeed { client: KeptClient::new(addr), generation: 0 }
     }
 
-    /// The next changes, or the whole list when the platform does not know
-    /// our generation; empty after `wait` without a change.
+    /// Returns the next changes, or the full list if the platform does not know the generation.
+    /// The result is empty after `wait` without a change.
     pub async fn next(&mut self, wait: Duration) -> Result<InstanceList, WireError> {
         let path = format!("/v1/instances?after={}&wait_ms={}", self.generation, wait.as_millis());
         let reply = self.client.get("follow instances", &path, wait + FEED_SLACK).await?;
--- a/crates/router/src/platform/mod.rs
+++ b/crates/router/src/platform/mod.rs
@@ -1,5 +1,4 @@
-//! The platform as the daemon and `umberctl` use it: rows, objects, and
-//! the two feeds of what changed.
+//! Clients of the platform for the daemon and `umberctl`: rows, objects and the two change feeds.
 
 mod client;
 mod feed;
--- a/crates/router/src/preset.rs
+++ b/crates/router/src/preset.rs
@@ -1,15 +1,14 @@
-//! The preset format: what operators edit and activate.
+//! The preset: the configuration that operators edit and activate.
 //!
-//! A preset is written in TOML (see `presets/*.toml`), checked by
-//! [`Preset::from_toml`] and stored in the platform's `presets` table as
-//! JSON. Unknown fields are refused by name, so a typo cannot silently
-//! leave a default in force.
+//! A preset is written in TOML (see `presets/*.toml`), checked by [`Preset::from_toml`] and stored
+//! as JSON in the platform's `presets` table. Unknown fields are rejected by name, so that a typo
+//! cannot silently leave a default in effect.
 
 use serde::Deserialize;
 use serde::Serialize;
 use snafu::Snafu;
 
-/// Limits that keep a preset from naming figures no engine can meet.
+/// Upper limits that prevent presets with values no engine can meet.
 const MAX_TOKENS_CEILING: u32 = 32_768;
 const MAX_IN_FLIGHT_CEILING: u32 = 100_000;
 const KEEP_MS_CEILING: u64 = 60_000;
@@ -18,49 +17,45 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassTargets {
-    /// Milliseconds to the first token.
+    /// Target time to the first token, in milliseconds.
     pub ttft_ms: u64,
-    /// Milliseconds between tokens.
+    /// Target time between tokens, in milliseconds.
     pub tpot_ms: u64,
 }
 
-/// One preset: how the daemons admit, classify and place requests.
+/// Settings for how the daemons admit, classify and place requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Preset {
-    /// A line for operators: what this preset is for.
+    /// The purpose of the preset in one line, for operators.
     pub description: String,
-    /// Tokens generated when the caller gives no `max_tokens`.
+    /// Tokens generated if the caller gives no `max_tokens`.
     pub default_max_tokens: u32,
-    /// Prompts of at most this many tokens are urgent when the caller
-    /// names no class.
+    /// Prompts of at most this many tokens are urgent if the caller names no class.
     pub urgent_prompt_tokens: u32,
-    /// Requests one daemon serves at once; more are refused with
-    /// `Retry-After`.
+    /// Requests one daemon serves at once. Further ones are rejected with `Retry-After`.
     pub max_in_flight: u32,
-    /// Slots of each server that standard work leaves free for urgent work.
+    /// Slots of each server reserved for urgent requests.
     #[serde(default = "default_urgent_reserve_slots")]
     pub urgent_reserve_slots: u32,
-    /// Prompt tokens waiting at a prefill server above which standard work
-    /// waits at the daemon instead.
+    /// Prompt tokens queued on a prefill server above which standard requests wait at the daemon
+    /// instead.
     #[serde(default = "default_prefill_queue_tokens")]
     pub prefill_queue_tokens: u32,
-    /// Milliseconds after its last use that an engine still has a prefix
-    /// in its cache.
+    /// Milliseconds that an engine keeps a prefix in its cache after its last use.
     #[serde(default = "default_prefix_keep_ms")]
     pub prefix_keep_ms: u64,
-    /// What computing a shared prefix again weighs against waiting: 1 is
-    /// its own time; above, wasted prefill is avoided at the cost of
-    /// latency.
+    /// The weight of recomputing a shared prefix against waiting. At 1 it counts as the time it
+    /// takes; higher values avoid wasted prefill at the cost of latency.
     #[serde(default = "default_recompute_weight")]
     pub recompute_weight: f64,
-    /// Milliseconds after which a request is ended wherever it is.
+    /// Milliseconds after which a request is ended, whatever its stage.
     #[serde(default = "default_deadline_ms")]
     pub deadline_ms: u64,
-    /// Milliseconds a prefill server keeps a KV cache for its decode.
+    /// Milliseconds that a prefill server keeps a KV cache for the decode server.
     pub prefill_keep_ms: u64,
-    /// Maintenance: new requests are refused with `Retry-After`, work in
-    /// flight finishes.
+    /// Maintenance mode: new requests are rejected with `Retry-After`, and requests in flight
+    /// finish.
     #[serde(default)]
     pub refuse_new_work: bool,
     pub urgent: ClassTargets,
@@ -87,10 +82,10 @@
     120_000
 }
 
-/// Why a preset was refused; names the field.
+/// The reason a preset was rejected.
 #[derive(Debug, Snafu, PartialEq, Eq)]
 pub enum PresetError {
-    /// The text is not valid TOML or JSON of the preset's shape.
+    /// The text is not valid TOML or JSON with the fields of a preset.
     #[snafu(display("preset does not parse: {message}"))]
     Parse { message: String },
     /// A field holds a value outside its range.
@@ -99,7 +94,7 @@
 }
 
 impl Preset {
-    /// Parses and checks a preset written in TOML.
+    /// Parses and validates a preset written in TOML.
     pub fn from_toml(text: &str) -> Result<Preset, PresetError> {
         let preset: Preset = toml::from_str(text)
             .map_err(|error| PresetError::Parse { message: error.to_string() })?;
@@ -107,7 +102,7 @@
         Ok(preset)
     }
 
-    /// Parses and checks a preset stored as JSON in the table.
+    /// Parses and validates a preset stored as JSON in the table.
     pub fn from_json(value: &serde_json::Value) -> Result<Preset, PresetError> {
         let preset: Preset = serde_json::from_value(value.clone())
             .map_err(|error| PresetError::Parse { message: error.to_string() })?;
@@ -115,7 +110,7 @@
         Ok(preset)
     }
 
-    /// Checks every field's range.
+    /// Checks the range of every field.
     pub fn validate(&self) -> Result<(), PresetError> {
         in_range(
             "default_max_tokens",
@@ -145,7 +140,7 @@
         Ok(())
     }
 
-    /// The targets of `priority`'s class.
+    /// Returns the latency targets of the class `priority`.
     pub fn targets(&self, priority: umberglade_wire::engine::Priority) -> &ClassTargets {
         match priority {
             umberglade_wire::engine::Priority::Urgent => &self.urgent,
--- a/crates/router/src/prompt.rs
+++ b/crates/router/src/prompt.rs
@@ -1,30 +1,29 @@
-//! What the daemon reads from a prompt: its token count and its shared
-//! prefix.
+//! Derives a prompt's token count and shared prefix.
 
 use umberglade_wire::caller::ChatMessage;
 
-/// Bytes of text per token, the usual rough figure for English text.
+/// Bytes of text per token, the usual approximation for English text.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// A prompt as the router sees it.
+/// The properties of a prompt that the router uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PromptShape {
-    /// Estimated tokens in the whole prompt; at least 1.
+    /// Estimated tokens in the whole prompt, at least 1.
     pub tokens: u32,
-    /// Digest of the shared prefix (the system message); 0 when none.
+    /// Digest of the shared prefix (the system messages); 0 if there is none.
     pub prefix_hash: u64,
-    /// Estimated tokens in that prefix.
+    /// Estimated tokens in the shared prefix.
     pub prefix_tokens: u32,
     /// Digest of the whole prompt.
     pub digest: u64,
 }
 
-/// Estimates tokens in `text`: a quarter of its bytes, at least 1.
+/// Estimates the tokens in `text`: a quarter of its bytes, at least 1.
 pub fn estimate_tokens(text: &str) -> u32 {
     (text.len().div_ceil(BYTES_PER_TOKEN)).max(1) as u32
 }
 
-/// The shape of a chat: the system messages form the shared prefix.
+/// Returns the shape of a chat, whose leading system messages form the shared prefix.
 pub fn chat_shape(messages: &[ChatMessage]) -> PromptShape {
     let prefix: String = messages
         .iter()
@@ -35,7 +34,7 @@
     shape(&prefix, &whole)
 }
 
-/// The shape of a plain prompt: no prefix is known.
+/// Returns the shape of a plain prompt, which has no known prefix.
 pub fn text_shape(prompt: &str) -> PromptShape {
     shape("", prompt)
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -1,5 +1,4 @@
-//! The daemon's settings, as read from flags and environment variables by
-//! the `umberglade` binary.
+//! The daemon's settings, which the `umberglade` binary reads from flags and environment variables.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,21 +7,20 @@
 use umberglade_wire::ids::DomainName;
 use umberglade_wire::ids::RegionName;
 
-/// How long a feed is held open by default while nothing changes. A
-/// change is told at once; the wait bounds how long a dead connection can
-/// go unnoticed, and with it the time until a change is in force.
+/// How long a feed request is held open by default while nothing changes. A change is answered at
+/// once. The wait bounds how long a dead connection can go unnoticed and thus delay a change.
 pub const DEFAULT_FEED_WAIT: Duration = Duration::from_millis(1500);
-/// How often a daemon renews its lease by default.
+/// How often a daemon renews its membership lease by default.
 pub const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
 /// How long idempotency records are kept by default.
 pub const DEFAULT_RECORD_RETENTION: Duration = Duration::from_secs(24 * 60 * 60);
-/// Default bound on one call to the platform.
+/// Default timeout of one call to the platform.
 pub const DEFAULT_PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Everything a daemon needs to start.
+/// The settings a daemon starts with.
 #[derive(Debug, Clone)]
 pub struct DaemonSettings {
-    /// Address the callers' HTTP server binds.
+    /// The address on which callers are served.
     pub listen: SocketAddr,
     /// `host:port` of the platform's table service.
     pub platform: String,
@@ -32,7 +30,7 @@
     pub domain: DomainName,
     /// This instance's region; empty at a site of one region.
     pub region: RegionName,
-    /// A new number each start: tells this run from earlier ones under the
+    /// A number that is new on each start and distinguishes this run from earlier ones with the
     /// same id.
     pub incarnation: u64,
     pub feed_wait: Duration,
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -1,5 +1,4 @@
-//! Puts a daemon together and sets it serving: follower, membership, duty
-//! and HTTP front.
+//! Builds a daemon and starts its parts: control follower, membership, leadership and HTTP front.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,15 +22,18 @@
 use crate::platform::PlatformClient;
 use crate::settings::DaemonSettings;
 
-/// A daemon that serves, and where.
+/// A serving daemon and its listening address.
 #[derive(Debug)]
 pub struct StartedDaemon<P> {
     pub daemon: Daemon<P>,
     pub local: SocketAddr,
 }
 
-/// Binds, reads what is in force once, and serves on the worker pool. An
-/// error is the socket's.
+/// Binds the socket, reads the active configuration once and serves on the worker pool.
+///
+/// # Errors
+///
+/// Fails if the socket cannot be bound.
 pub async fn start<P: Placement>(
     settings: DaemonSettings,
     placement: P,
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -1,4 +1,4 @@
-//! What `GET /v1/status` answers: what this daemon has in force.
+//! The response of `GET /v1/status`: the daemon's current state.
 
 use std::time::UNIX_EPOCH;
 
@@ -16,15 +16,15 @@
     pub incarnation: u64,
     pub preset: String,
     pub fence: u64,
-    /// When this daemon took `fence` into force, in ms since the Unix epoch.
+    /// When this daemon applied `fence`, in milliseconds since the Unix epoch.
     pub fence_applied_unix_ms: Option<u64>,
-    /// Seconds since the platform last answered both feeds; `None` if never.
+    /// Seconds since the platform last answered both feeds; `None` if it never did.
     pub platform_sync_age_s: Option<f64>,
     pub in_flight: u32,
-    /// Requests waiting here for room at the backend servers.
+    /// Requests queued at this daemon for capacity on the backend servers.
     pub waiting: usize,
     pub draining: bool,
-    /// Daemons whose lease is live, as last read; 0 before the first read.
+    /// Daemons whose lease was live at the last read; 0 before the first read.
     pub members_live: usize,
     /// True while this daemon's own lease is live.
     pub member: bool,
@@ -40,15 +40,15 @@
     pub domain: String,
     pub state: String,
     pub drained: bool,
-    /// Set aside for a while after failures.
+    /// True while the server is ejected after failures.
     pub set_aside: bool,
     pub in_flight: u32,
-    /// Requests there from every daemon, as best known.
+    /// Estimated number of requests on the server from all daemons.
     pub running: u32,
 }
 
 impl<P> Daemon<P> {
-    /// What this daemon has in force.
+    /// Returns this daemon's current state.
     pub fn status(&self) -> DaemonStatus {
         let snapshot = self.shared.control.current();
         let settings = &self.shared.settings;
--- a/crates/router/tests/leader_lease.rs
+++ b/crates/router/tests/leader_lease.rs
@@ -1,4 +1,4 @@
-//! The duty's lease, against a platform stand-in.
+//! Tests of the leader lease against a platform stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,9 +26,8 @@
     LeaderLease::new(client, daemon.into(), 1, LEASE)
 }
 
-/// The holder is paused between its renewal and the order it was about to
-/// send. On waking it asks for the fencing number: it must get none, well
-/// before another daemon can have taken the duty.
+/// The leader is paused between renewing its lease and sending an order. When it resumes, it must
+/// get no fencing token, well before another daemon can take over.
 #[test]
 fn paused_leader_gets_no_fence() {
     pool::block_on(async {
@@ -37,14 +36,14 @@
         held.acquire_or_renew().await.unwrap();
         assert!(held.fence().is_some());
         smol::Timer::after(LEASE * 2 / 3).await;
-        assert_eq!(held.fence(), None, "orders on a lease that may lapse");
-        assert!(held.is_held(), "it still believes it holds the duty");
+        assert_eq!(held.fence(), None, "a lease that may expire still gives a fencing token");
+        assert!(held.is_held(), "the paused leader has not noticed yet that its lease is old");
     });
 }
 
-/// Two daemons want the duty. The second must not take it while the first
-/// renews, must take it once the first is silent past the lease, and then
-/// has the higher fence; the first, back, must see that it lost.
+/// Two daemons compete for the leadership. The second must not acquire it while the first renews,
+/// must acquire it once the first has not renewed for longer than the lease, and then has the
+/// higher fencing token. When the first returns, it must notice that it lost the leadership.
 #[test]
 fn leadership_changes_only_after_the_lease_expires() {
     pool::block_on(async {
