--- a/crates/router/src/leader/cleaner.rs
+++ b/crates/router/src/leader/cleaner.rs
@@ -33,7 +33,7 @@
         RecordCleaner { platform, retention, cursor: String::new() }
     }
 
-    /// Cleans up to [`BATCHES_PER_ROUND`] batches, stopping at the end of the table.
+    /// Cleans up to `BATCHES_PER_ROUND` batches, stopping at the end of the table.
     pub async fn run_round(&mut self) {
         for _ in 0..BATCHES_PER_ROUND {
             if let Err(error) = self.clean_batch().await {
