--- a/crates/router/src/duty/keeper.rs
+++ b/crates/router/src/leader/controller.rs
@@ -1,5 +1,5 @@
-//! The keeper: while this daemon holds the duty, it sees to it that
-//! servers have the roles operators want and old records go.
+//! The leader's loop: orders servers into the roles that operators requested and removes old
+//! records.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,45 +14,45 @@
 use umberglade_wire::engine::OrderReply;
 use umberglade_wire::platform::InstanceState;
 
-use super::DutyLease;
-use super::RecordSweeper;
+use super::LeaderLease;
+use super::RecordCleaner;
 use crate::control::ControlState;
 use crate::control::ServerSlot;
 use crate::events;
 
-/// Bound on reading a report and on sending an order.
+/// Timeout of reading a report and of sending an order.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1);
-/// A daemon that does not hold the duty looks at it each so many beats.
-const BEATS_PER_LOOK: u32 = 2;
+/// How many heartbeat intervals pass between a non-leader's checks of the leader lease.
+const HEARTBEATS_PER_CHECK: u32 = 2;
 
-/// Holds or contends for the duty and acts on it.
+/// Acquires or renews the leader lease and performs the leader's tasks while it is held.
 #[derive(Debug)]
-pub struct DutyKeeper {
-    pub lease: DutyLease,
-    pub sweeper: RecordSweeper,
+pub struct LeaderController {
+    pub lease: LeaderLease,
+    pub cleaner: RecordCleaner,
     pub control: Arc<ControlState>,
     pub daemon: String,
-    /// How often the holder renews and acts.
-    pub beat: Duration,
+    /// How often the leader renews its lease and performs its tasks.
+    pub interval: Duration,
 }
 
-impl DutyKeeper {
-    /// Keeps until the process ends.
+impl LeaderController {
+    /// Runs until the process stops.
     pub async fn run(mut self) {
         loop {
-            if let Err(error) = self.lease.contend().await {
-                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "duty", %error, "duty not renewed");
+            if let Err(error) = self.lease.acquire_or_renew().await {
+                tracing::warn!(event = events::PLATFORM_UNREACHABLE, what = "duty", %error, "leader lease not renewed");
             }
             if self.lease.is_held() {
                 self.order_roles().await;
-                self.sweeper.round().await;
+                self.cleaner.run_round().await;
             }
-            let beats = if self.lease.is_held() { 1 } else { BEATS_PER_LOOK };
-            smol::Timer::after(self.beat * beats).await;
+            let intervals = if self.lease.is_held() { 1 } else { HEARTBEATS_PER_CHECK };
+            smol::Timer::after(self.interval * intervals).await;
         }
     }
 
-    /// Orders each server whose role is not the one wanted.
+    /// Sends a role order to each live server whose role is not the requested one.
     async fn order_roles(&self) {
         let snapshot = self.control.current();
         for slot in snapshot.servers.iter() {
@@ -63,7 +63,7 @@
                 continue;
             }
             if let Err(error) = self.order_role(slot, wanted.role).await {
-                tracing::warn!(event = events::STEP_FAILED, server = %slot.entry.server, %error, "role order failed");
+                tracing::warn!(event = events::SERVER_STEP_FAILED, server = %slot.entry.server, %error, "role order failed");
             }
         }
     }
@@ -75,9 +75,9 @@
         if report.busy || report.role == role {
             return Ok(());
         }
-        // Asked after the report was read: a pause in between is noticed.
+        // The lease is checked after the report was read, so that a pause during the read counts.
         let Some(fence) = self.lease.fence() else {
-            tracing::warn!(event = events::ORDER_WITHHELD, server = %slot.entry.server, "lease too old");
+            tracing::warn!(event = events::ORDER_WITHHELD, server = %slot.entry.server, "role order not sent: leader lease too old");
             return Ok(());
         };
         let order = EngineOrder {
@@ -86,7 +86,7 @@
             fence,
             expected_sequence: report.sequence,
         };
-        tracing::info!(event = events::ORDER_SENT, server = %slot.entry.server, %role, fence, sequence = report.sequence, "role ordered");
+        tracing::info!(event = events::ORDER_SENT, server = %slot.entry.server, %role, fence, sequence = report.sequence, "role order sent");
         let _: OrderReply =
             client.call("send order", Method::POST, "/v1/order", Some(&order)).await?;
         Ok(())
--- a/crates/router/src/duty/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -1,4 +1,4 @@
-//! The lease on the duty.
+//! The lease on the leadership.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,93 +15,92 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// The duty as held by this daemon.
+/// The leader lease while this daemon holds it.
 #[derive(Debug, Clone, Copy)]
-struct HeldDuty {
+struct HeldLease {
     fence: Fence,
-    /// When the write that renewed it was begun.
-    begun: Instant,
+    /// When the write that last renewed the lease started.
+    started_at: Instant,
 }
 
-/// This daemon's part in the duty.
+/// This daemon's handle on the leader lease.
 #[derive(Debug)]
-pub struct DutyLease {
+pub struct LeaderLease {
     platform: PlatformClient,
     daemon: DaemonId,
     incarnation: u64,
     lease: Duration,
-    held: Option<HeldDuty>,
+    held: Option<HeldLease>,
 }
 
-impl DutyLease {
-    /// A lease not held, lasting `lease` from each renewal.
+impl LeaderLease {
+    /// Creates a handle that does not hold the lease. The lease lasts `lease` from each renewal.
     pub fn new(
         platform: PlatformClient,
         daemon: DaemonId,
         incarnation: u64,
         lease: Duration,
     ) -> Self {
-        DutyLease { platform, daemon, incarnation, lease, held: None }
+        LeaderLease { platform, daemon, incarnation, lease, held: None }
     }
 
-    /// The fencing number to order under, while this daemon may order.
+    /// Returns the fencing token for orders while this daemon may send them.
     ///
-    /// Guards against a holder that was paused and wakes still believing
-    /// that it holds the duty, at engines that ignore fencing numbers: the
-    /// age is taken at each question, and an order is withheld once two
-    /// thirds of the lease have gone, a third before another daemon can
-    /// take the duty.
+    /// Prevents orders from a leader that resumes after a pause and still considers itself the
+    /// leader, at engines that ignore fencing tokens: each call measures the age of the lease, and
+    /// returns no token once two thirds of it have passed, one third before another daemon can
+    /// take over.
     pub fn fence(&self) -> Option<Fence> {
         let held = self.held?;
-        (held.begun.elapsed() < self.lease * 2 / 3).then_some(held.fence)
+        (held.started_at.elapsed() < self.lease * 2 / 3).then_some(held.fence)
     }
 
-    /// True while this daemon last saw itself as the holder.
+    /// Returns true if this daemon held the lease at its last check.
     pub fn is_held(&self) -> bool {
         self.held.is_some()
     }
 
-    /// Renews the duty if ours, takes it if lapsed, else leaves it.
-    pub async fn contend(&mut self) -> Result<(), WireError> {
-        let begun = Instant::now();
+    /// Renews the lease if this daemon holds it and acquires it if it has expired.
+    pub async fn acquire_or_renew(&mut self) -> Result<(), WireError> {
+        let started_at = Instant::now();
         let list = self.platform.list(DUTY_TABLE).await?;
         let row = list.rows.into_iter().find(|row| row.key == DUTY_KEY);
         let Some(row) = row else {
-            return self.write(0, begun).await;
+            return self.write(0, started_at).await;
         };
         let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
         let is_ours = serde_json::from_value::<DutyRecord>(row.value)
             .is_ok_and(|record| record == self.record());
         if is_ours || age >= self.lease {
-            return self.write(row.version, begun).await;
+            return self.write(row.version, started_at).await;
         }
-        self.lose();
+        self.mark_lost();
         Ok(())
     }
 
-    async fn write(&mut self, expect: RowVersion, begun: Instant) -> Result<(), WireError> {
+    async fn write(&mut self, expect: RowVersion, started_at: Instant) -> Result<(), WireError> {
         let outcome =
             self.platform.put_checked(DUTY_TABLE, DUTY_KEY, expect, &self.record()).await?;
         match outcome {
             WriteOutcome::Written(row) => {
                 if self.held.is_none() {
                     tracing::info!(
-                        event = events::DUTY_CHANGED,
+                        event = events::LEADER_CHANGED,
                         holds = true,
                         fence = row.version,
-                        "duty taken"
+                        "leadership acquired"
                     );
                 }
-                self.held = Some(HeldDuty { fence: row.version, begun });
+                self.held = Some(HeldLease { fence: row.version, started_at });
             }
-            WriteOutcome::Conflict { .. } => self.lose(),
+            WriteOutcome::Conflict { .. } => self.mark_lost(),
         }
         Ok(())
     }
 
-    fn lose(&mut self) {
+    fn mark_lost(&mut self) {
         if self.held.take().is_some() {
-            tracing::info!(event = events::DUTY_CHANGED, holds = false, "duty lost");
+            tracing::info!(event = events::LEADER_CHANGED, holds = false, "leadership lost");
         }
     }
 
--- a/crates/router/src/operator/snapshot.rs
+++ b/crates/router/src/operator/snapshot.rs
@@ -1,5 +1,4 @@
-//! Snapshots: a copy of what operators have set, kept in the platform's
-//! object store.
+//! Snapshots: copies of the rows that operators have set, kept in the platform's object store.
 
 use bytes::Bytes;
 use serde::Deserialize;
@@ -11,29 +10,28 @@
 
 use super::OperatorActions;
 use super::OperatorError;
-use super::written;
+use super::into_row;
 
-/// Where snapshots stand in the object store.
+/// The prefix of snapshot names in the object store.
 const SNAPSHOT_PREFIX: &str = "snapshots/";
 
-/// What a snapshot holds.
+/// The contents of a snapshot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct SnapshotBook {
-    /// Who saved it.
+pub struct SnapshotContents {
+    /// The operator who saved it.
     pub by: String,
     pub presets: Vec<Row>,
     pub control: Vec<Row>,
 }
 
 impl OperatorActions {
-    /// Saves every preset and control row as snapshot `name`; returns how
-    /// many rows it holds.
+    /// Saves all preset and control rows as snapshot `name`. Returns the number of rows saved.
     pub async fn save_snapshot(&self, name: &str) -> Result<usize, OperatorError> {
         let presets = self.rows(PRESETS_TABLE).await?;
         let control = self.rows(CONTROL_TABLE).await?;
         let count = presets.len() + control.len();
-        let book = SnapshotBook { by: self.actor.clone(), presets, control };
-        let body = Bytes::from(serde_json::to_vec(&book).expect("serialising a snapshot"));
+        let contents = SnapshotContents { by: self.actor.clone(), presets, control };
+        let body = Bytes::from(serde_json::to_vec(&contents).expect("serialising a snapshot"));
         self.platform
             .put_object(&object_name(name), body)
             .await
@@ -41,7 +39,7 @@
         Ok(count)
     }
 
-    /// Names of the snapshots there are.
+    /// Returns the names of all snapshots.
     pub async fn list_snapshots(&self) -> Result<Vec<String>, OperatorError> {
         let list = self
             .platform
@@ -52,10 +50,9 @@
         Ok(list.names.iter().map(short).collect())
     }
 
-    /// Writes the rows of snapshot `name` back where they differ, each as a
-    /// new version conditional on the one read just before: daemons take
-    /// them as any other change, and a shift that acts meanwhile makes
-    /// this a conflict. Returns how many rows were written.
+    /// Writes back the rows of snapshot `name` that differ, each as a new version conditional on
+    /// the one just read. Daemons apply them like any other change, and an operator who changes a
+    /// row in the meantime causes a conflict. Returns the number of rows written.
     pub async fn restore_snapshot(&self, name: &str) -> Result<usize, OperatorError> {
         let body = self
             .platform
@@ -63,12 +60,12 @@
             .await
             .map_err(|source| platform("read snapshot", source))?
             .ok_or_else(|| OperatorError::NoSuchSnapshot { name: name.to_owned() })?;
-        let book: SnapshotBook = serde_json::from_slice(&body).map_err(|error| {
+        let contents: SnapshotContents = serde_json::from_slice(&body).map_err(|error| {
             let what = format!("snapshots/{name}");
             OperatorError::Malformed { what, message: error.to_string() }
         })?;
-        let presets = self.restore_table(PRESETS_TABLE, &book.presets).await?;
-        let control = self.restore_table(CONTROL_TABLE, &book.control).await?;
+        let presets = self.restore_table(PRESETS_TABLE, &contents.presets).await?;
+        let control = self.restore_table(CONTROL_TABLE, &contents.control).await?;
         Ok(presets + control)
     }
 
@@ -80,17 +77,17 @@
         let current = self.rows(table).await?;
         let mut count = 0;
         for row in rows {
-            let now = current.iter().find(|now| now.key == row.key);
-            if now.is_some_and(|now| now.value == row.value) {
+            let existing = current.iter().find(|existing| existing.key == row.key);
+            if existing.is_some_and(|existing| existing.value == row.value) {
                 continue;
             }
-            let version = now.map_or(0, |now| now.version);
+            let version = existing.map_or(0, |existing| existing.version);
             let outcome = self
                 .platform
                 .put_checked(table, &row.key, version, &row.value)
                 .await
                 .map_err(|source| platform("restore row", source))?;
-            written(outcome, format!("{table}/{}", row.key))?;
+            into_row(outcome, format!("{table}/{}", row.key))?;
             count += 1;
         }
         Ok(count)
