--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -16,23 +16,23 @@
 /// Departures needed before the pace is believed.
 const MIN_DEPARTURES: u32 = 4;
 /// A pace not worth telling: less than a request in ten seconds.
-const MIN_PACE_MILLI: u32 = 100;
+const MIN_REPORTED_RATE_MILLI: u32 = 100;
 /// The least time told to a refused caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 /// The longest: a burst lasts some four seconds, and a caller of a stream that
 /// has waited in vain has some ten left, of which it gives a third.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(3500);
 /// The least part of the pace that is taken to be left beside new callers.
-const MIN_SPARE: f64 = 0.1;
+const MIN_SPARE_FRACTION: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy)]
 struct QueuedRequest {
     /// See [`QueueRequest::occupancy`].
     occupancy: u64,
     /// When its caller first tried.
-    tried_at: Instant,
+    first_requested_at: Instant,
     /// Until then an answer begun now is still on time.
-    on_time_until: Instant,
+    target_deadline: Instant,
 }
 
 /// A line as the other gateways hear of it.
@@ -58,11 +58,11 @@
 pub struct PeerQueues {
     pub waiting: u32,
     /// Those of them that can still be on time.
-    pub on_time: u32,
+    pub within_target: u32,
     /// Requests placed a second.
-    pub pace: f64,
+    pub placement_rate: f64,
     /// New requests a second.
-    pub arrivals: f64,
+    pub arrival_rate: f64,
 }
 
 /// Who asks for a place in line.
@@ -72,17 +72,17 @@
     /// which it is expected to hold them.
     pub occupancy: u64,
     /// Until then an answer begun is still on time.
-    pub on_time_until: Instant,
+    pub target_deadline: Instant,
     /// How long its caller has been trying with earlier requests.
-    pub tried_for: Duration,
+    pub retrying_for: Duration,
 }
 
 impl QueueUpdate {
     /// True when this line's first goes before `other`'s, wherever they wait.
-    pub fn goes_before(&self, other: &QueueUpdate) -> bool {
-        let key = |line: &QueueUpdate| match line.is_first_late {
-            false => (false, line.first_occupancy, Reverse(0)),
-            true => (true, 0, Reverse(line.first_age_ms)),
+    pub fn precedes(&self, other: &QueueUpdate) -> bool {
+        let key = |update: &QueueUpdate| match update.is_first_late {
+            false => (false, update.first_occupancy, Reverse(0)),
+            true => (true, 0, Reverse(update.first_age_ms)),
         };
         key(self) < key(other)
     }
@@ -107,15 +107,15 @@
 /// late; this way the late ones stay late and the others don't become so.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
-    waiters: BTreeMap<Ticket, QueuedRequest>,
+    queued: BTreeMap<Ticket, QueuedRequest>,
     next_ticket: Ticket,
-    pace: RateEstimate,
+    placement_rate: RateEstimate,
     /// New requests, whether they had to wait or not.
-    arrivals: RateEstimate,
+    arrival_rate: RateEstimate,
     /// True when whoever was first in line last found no room.
     is_blocked: bool,
     /// The first in line as last seen, and since when.
-    leader: Option<(Ticket, Instant)>,
+    last_head: Option<(Ticket, Instant)>,
 }
 
 impl AdmissionQueue {
@@ -128,41 +128,44 @@
     /// 1,112 asked, with half of the engines' places free).
     pub fn join(
         &mut self,
-        asker: QueueRequest,
-        patience: Duration,
-        others: PeerQueues,
+        request: QueueRequest,
+        max_wait: Duration,
+        peers: PeerQueues,
         now: Instant,
     ) -> Result<Ticket, QueueRejection> {
-        let QueueRequest { occupancy, on_time_until, tried_for } = asker;
-        if tried_for.is_zero() {
-            self.arrivals.note(now);
+        let QueueRequest { occupancy, target_deadline, retrying_for } = request;
+        if retrying_for.is_zero() {
+            self.arrival_rate.record(now);
         }
-        let predicted = self.newcomer_wait(on_time_until, others, now);
-        if predicted > patience {
-            return Err(QueueRejection { predicted, retry_after: self.retry_after(others, now) });
+        let predicted = self.new_request_wait(target_deadline, peers, now);
+        if predicted > max_wait {
+            return Err(QueueRejection { predicted, retry_after: self.retry_after(peers, now) });
         }
         self.next_ticket += 1;
-        let tried_at = now.checked_sub(tried_for).unwrap_or(now);
-        self.waiters.insert(self.next_ticket, QueuedRequest { occupancy, tried_at, on_time_until });
+        let first_requested_at = now.checked_sub(retrying_for).unwrap_or(now);
+        self.queued.insert(
+            self.next_ticket,
+            QueuedRequest { occupancy, first_requested_at, target_deadline },
+        );
         Ok(self.next_ticket)
     }
 
     /// Since when the holder of `ticket` has been the first here, and so the one
     /// to try for room; `None` while another is.
-    pub fn leads_since(&mut self, ticket: Ticket, now: Instant) -> Option<Instant> {
-        let (first, _) = self.first(now)?;
-        if self.leader.is_none_or(|(leader, _)| leader != first) {
-            self.leader = Some((first, now));
+    pub fn head_since(&mut self, ticket: Ticket, now: Instant) -> Option<Instant> {
+        let (head, _) = self.head(now)?;
+        if self.last_head.is_none_or(|(last_head, _)| last_head != head) {
+            self.last_head = Some((head, now));
         }
-        self.leader.filter(|(leader, _)| *leader == ticket).map(|(_, since)| since)
+        self.last_head.filter(|(last_head, _)| *last_head == ticket).map(|(_, since)| since)
     }
 
     /// What the other gateways are told; `None` when nobody waits, and none
     /// has been placed for long.
-    pub fn news(&self, now: Instant) -> Option<QueueUpdate> {
-        let pace_milli = (self.pace.per_second(now) * 1000.0) as u32;
-        let arrivals_milli = (self.arrivals.per_second(now) * 1000.0) as u32;
-        let Some((_, first)) = self.first(now) else {
+    pub fn queue_update(&self, now: Instant) -> Option<QueueUpdate> {
+        let pace_milli = (self.placement_rate.per_second(now) * 1000.0) as u32;
+        let arrivals_milli = (self.arrival_rate.per_second(now) * 1000.0) as u32;
+        let Some((_, head)) = self.head(now) else {
             let idle = QueueUpdate {
                 waiting: 0,
                 on_time: 0,
@@ -172,41 +175,41 @@
                 pace_milli,
                 arrivals_milli,
             };
-            return (pace_milli > MIN_PACE_MILLI).then_some(idle);
+            return (pace_milli > MIN_REPORTED_RATE_MILLI).then_some(idle);
         };
-        let age = now.saturating_duration_since(first.tried_at);
+        let age = now.saturating_duration_since(head.first_requested_at);
         Some(QueueUpdate {
-            waiting: self.waiters.len() as u32,
-            on_time: self.on_time(now) as u32,
+            waiting: self.queued.len() as u32,
+            on_time: self.within_target(now) as u32,
             first_age_ms: age.as_millis().min(u128::from(u32::MAX)) as u32,
-            is_first_late: now >= first.on_time_until,
-            first_occupancy: first.occupancy,
+            is_first_late: now >= head.target_deadline,
+            first_occupancy: head.occupancy,
             pace_milli,
             arrivals_milli,
         })
     }
 
-    fn first(&self, now: Instant) -> Option<(Ticket, QueuedRequest)> {
-        let on_time = self
-            .waiters
+    fn head(&self, now: Instant) -> Option<(Ticket, QueuedRequest)> {
+        let within_target = self
+            .queued
             .iter()
-            .filter(|(_, waiter)| now < waiter.on_time_until)
-            .min_by_key(|(_, waiter)| waiter.occupancy);
-        let oldest = || self.waiters.iter().min_by_key(|(_, waiter)| waiter.tried_at);
-        let first = on_time.or_else(oldest);
-        first.map(|(ticket, waiter)| (*ticket, *waiter))
+            .filter(|(_, request)| now < request.target_deadline)
+            .min_by_key(|(_, request)| request.occupancy);
+        let oldest = || self.queued.iter().min_by_key(|(_, request)| request.first_requested_at);
+        let head = within_target.or_else(oldest);
+        head.map(|(ticket, request)| (*ticket, *request))
     }
 
     /// Leaves the line; `placed` when room was found.
     pub fn leave(&mut self, ticket: Ticket, placed: bool, now: Instant) {
-        if self.waiters.remove(&ticket).is_some() && placed {
-            self.pace.note(now);
+        if self.queued.remove(&ticket).is_some() && placed {
+            self.placement_rate.record(now);
             self.is_blocked = false;
         }
     }
 
     /// The first in line has found no room.
-    pub fn note_no_room(&mut self) {
+    pub fn record_no_capacity(&mut self) {
         self.is_blocked = true;
     }
 
@@ -217,47 +220,52 @@
     /// Guards against callers who come back into the same burst, are refused a
     /// second time and then stay away: by the pace alone they were told 0.3 to
     /// 2 s in bursts of four.
-    pub fn retry_after(&self, others: PeerQueues, now: Instant) -> Duration {
-        let pace = self.pace.per_second(now) + others.pace;
-        let arrivals = self.arrivals.per_second(now) + others.arrivals;
-        let waiting = self.waiters.len() as f64 + f64::from(others.waiting);
-        let spare = (pace - arrivals).max(pace * MIN_SPARE);
-        if waiting == 0.0 || spare <= 0.0 {
+    pub fn retry_after(&self, peers: PeerQueues, now: Instant) -> Duration {
+        let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
+        let arrival_rate = self.arrival_rate.per_second(now) + peers.arrival_rate;
+        let waiting = self.queued.len() as f64 + f64::from(peers.waiting);
+        let spare_rate = (placement_rate - arrival_rate).max(placement_rate * MIN_SPARE_FRACTION);
+        if waiting == 0.0 || spare_rate <= 0.0 {
             return MIN_RETRY_AFTER;
         }
-        let wait = Duration::from_secs_f64((waiting / spare).min(60.0));
+        let wait = Duration::from_secs_f64((waiting / spare_rate).min(60.0));
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
     /// Requests waiting.
     pub fn len(&self) -> usize {
-        self.waiters.len()
+        self.queued.len()
     }
 
     /// True when nobody waits.
     pub fn is_empty(&self) -> bool {
-        self.waiters.is_empty()
+        self.queued.is_empty()
     }
 
     /// Waiters that can still be on time.
-    fn on_time(&self, now: Instant) -> usize {
-        self.waiters.values().filter(|waiter| now < waiter.on_time_until).count()
+    fn within_target(&self, now: Instant) -> usize {
+        self.queued.values().filter(|request| now < request.target_deadline).count()
     }
 
     /// How long a newcomer would wait. One that can be on time stands behind
     /// those who can be, too; if they are too many it will be late, and stand
     /// behind all.
-    fn newcomer_wait(&self, on_time_until: Instant, others: PeerQueues, now: Instant) -> Duration {
-        let on_time = self.on_time(now) + others.on_time as usize;
-        let among_on_time = self.time_for(on_time, others, now);
-        if now + among_on_time < on_time_until {
-            return among_on_time;
+    fn new_request_wait(
+        &self,
+        target_deadline: Instant,
+        peers: PeerQueues,
+        now: Instant,
+    ) -> Duration {
+        let within_target = self.within_target(now) + peers.within_target as usize;
+        let wait_within_target = self.placement_time(within_target, peers, now);
+        if now + wait_within_target < target_deadline {
+            return wait_within_target;
         }
-        self.predicted_wait(others, now)
+        self.predicted_wait(peers, now)
     }
 
-    fn predicted_wait(&self, others: PeerQueues, now: Instant) -> Duration {
-        self.time_for(self.waiters.len() + others.waiting as usize, others, now)
+    fn predicted_wait(&self, peers: PeerQueues, now: Instant) -> Duration {
+        self.placement_time(self.queued.len() + peers.waiting as usize, peers, now)
     }
 
     /// How long `count` requests take to be placed; no time while room is found.
@@ -265,13 +273,14 @@
     /// Guards against a burst that is refused before the engines are full: the
     /// pace so far is that of the callers, not of the engines. 80 callers at
     /// once had 16 refused after four placements, with room for 25 more free.
-    fn time_for(&self, count: usize, others: PeerQueues, now: Instant) -> Duration {
-        let pace = self.pace.per_second(now) + others.pace;
-        let is_known = self.pace.count() >= MIN_DEPARTURES || others.pace > 0.0;
-        let is_free = !self.is_blocked && others.waiting == 0;
-        if count == 0 || is_free || !is_known || pace <= 0.0 {
+    fn placement_time(&self, count: usize, peers: PeerQueues, now: Instant) -> Duration {
+        let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
+        let is_rate_known =
+            self.placement_rate.count() >= MIN_DEPARTURES || peers.placement_rate > 0.0;
+        let has_capacity = !self.is_blocked && peers.waiting == 0;
+        if count == 0 || has_capacity || !is_rate_known || placement_rate <= 0.0 {
             return Duration::ZERO;
         }
-        Duration::from_secs_f64((count as f64 / pace).min(60.0))
+        Duration::from_secs_f64((count as f64 / placement_rate).min(60.0))
     }
 }
--- a/crates/gateway/src/cluster/engine_estimates.rs
+++ b/crates/gateway/src/cluster/engine_estimates.rs
@@ -18,8 +18,8 @@
 
 impl EngineEstimates {
     /// False for what no gateway can have learned.
-    pub fn is_reliable(&self) -> bool {
-        self.outputs.is_reliable() && self.balance.is_reliable() && self.opening.is_reliable()
+    pub fn is_valid(&self) -> bool {
+        self.outputs.is_valid() && self.balance.is_valid() && self.opening.is_valid()
     }
 
     /// What several gateways have learned together, each by how much it has
@@ -28,11 +28,11 @@
     /// Guards against knowing nothing for minutes: one of 195 gateways serves a
     /// stream each four seconds, so by its own streams alone it learns how long
     /// they take after half a minute, and forgets it when it starts anew.
-    pub fn pooled(of: impl Iterator<Item = EngineEstimates>) -> EngineEstimates {
-        of.fold(EngineEstimates::default(), |pool, one| EngineEstimates {
-            outputs: pool.outputs.with(&one.outputs),
-            balance: pool.balance.with(&one.balance),
-            opening: pool.opening.with(&one.opening),
+    pub fn pooled(estimates: impl Iterator<Item = EngineEstimates>) -> EngineEstimates {
+        estimates.fold(EngineEstimates::default(), |pool, estimate| EngineEstimates {
+            outputs: pool.outputs.pooled_with(&estimate.outputs),
+            balance: pool.balance.pooled_with(&estimate.balance),
+            opening: pool.opening.pooled_with(&estimate.opening),
         })
     }
 }
--- a/crates/gateway/src/cluster/first_event_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::pooled_count::PooledCount;
-use super::pooled_count::is_reliable;
+use super::pooled_count::is_valid;
 
 /// Streams needed before their mean is believed.
 const MIN_STREAMS: u32 = 8;
@@ -15,16 +15,16 @@
 /// that must be forgotten in seconds by gateways that serve two streams a second
 /// (with 0.05 it took twelve, in which no stream came on time). What a few
 /// streams of one gateway have in common, the mean over all gateways evens out.
-const WEIGHT: f64 = 0.25;
+const MIN_SAMPLE_WEIGHT: f64 = 0.25;
 /// The most of the target that a stream is taken to need.
 ///
 /// Guards against a line in which nobody counts as able to be on time: it falls
 /// back to the order of arrival, everyone waits behind those already late, and
 /// becomes late in turn.
-const MAX_PART: f64 = 0.5;
+const MAX_TARGET_FRACTION: f64 = 0.5;
 /// Mean deviations that are added to the mean: nine streams of ten begin
 /// within that.
-const DEVIATIONS: f64 = 1.6;
+const DEVIATION_FACTOR: f64 = 1.6;
 /// The time from placement to first event, as a mean and its mean deviation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FirstEventTime {
@@ -36,22 +36,22 @@
 impl FirstEventTime {
     /// Taken while too little is known: reading a mean prompt takes 90 ms, its
     /// transfer and first tokens as long again.
-    pub const UNKNOWN: Duration = Duration::from_millis(300);
+    pub const DEFAULT: Duration = Duration::from_millis(300);
 
     /// Takes in a stream whose first event came `took` after its placement.
-    pub fn note(&mut self, took: Duration) {
+    pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.streams = self.streams.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / f64::from(self.streams));
-        let off = (took - self.mean_s).abs();
+        let weight = MIN_SAMPLE_WEIGHT.max(1.0 / f64::from(self.streams));
+        let deviation = (took - self.mean_s).abs();
         if self.streams > 1 {
-            self.deviation_s += (off - self.deviation_s) * weight;
+            self.deviation_s += (deviation - self.deviation_s) * weight;
         }
         self.mean_s += (took - self.mean_s) * weight;
     }
 
     /// What this and `other` have learned, by how many streams each stands for.
-    pub fn with(&self, other: &FirstEventTime) -> FirstEventTime {
+    pub fn pooled_with(&self, other: &FirstEventTime) -> FirstEventTime {
         let pool = PooledCount::new(self.streams, other.streams);
         FirstEventTime {
             mean_s: pool.mean(self.mean_s, other.mean_s),
@@ -61,21 +61,21 @@
     }
 
     /// False for what no gateway can have learned.
-    pub fn is_reliable(&self) -> bool {
-        [self.mean_s, self.deviation_s].into_iter().all(is_reliable)
+    pub fn is_valid(&self) -> bool {
+        [self.mean_s, self.deviation_s].into_iter().all(is_valid)
     }
 
     /// How long after its caller's first try a stream may find its room and
     /// still begin within `target`.
-    pub fn latest_start(&self, target: Duration) -> Duration {
-        target.saturating_sub(self.likely().min(target.mul_f64(MAX_PART)))
+    pub fn max_placement_delay(&self, target: Duration) -> Duration {
+        target.saturating_sub(self.p90().min(target.mul_f64(MAX_TARGET_FRACTION)))
     }
 
     /// Within this nine streams of ten have begun.
-    pub fn likely(&self) -> Duration {
+    pub fn p90(&self) -> Duration {
         if self.streams < MIN_STREAMS {
-            return Self::UNKNOWN;
+            return Self::DEFAULT;
         }
-        Duration::from_secs_f64(self.mean_s + self.deviation_s * DEVIATIONS)
+        Duration::from_secs_f64(self.mean_s + self.deviation_s * DEVIATION_FACTOR)
     }
 }
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -166,7 +166,7 @@
                 let heard = now.saturating_duration_since(report.heard_at);
                 line.first_age_ms = line.first_age_ms.saturating_add(heard.as_millis() as u32);
                 let before = if line.is_first_late { line.waiting } else { 1 };
-                (line.waiting > 0 && line.goes_before(own)).then_some(before as usize)
+                (line.waiting > 0 && line.precedes(own)).then_some(before as usize)
             })
             .sum()
     }
@@ -195,7 +195,7 @@
 
     /// The gateway named `peer` tells what it has learned, by service.
     pub fn learn(&mut self, peer: &str, mut learned: Vec<(u64, EngineEstimates)>, now: Instant) {
-        learned.retain(|(_, of)| of.is_reliable());
+        learned.retain(|(_, of)| of.is_valid());
         self.learned.insert(server_digest(peer), PeerLearning { learned, heard_at: now });
     }
 
--- a/crates/gateway/src/cluster/peer_totals.rs
+++ b/crates/gateway/src/cluster/peer_totals.rs
@@ -55,9 +55,9 @@
     pub fn lines(&self) -> PeerQueues {
         PeerQueues {
             waiting: saturated(self.waiting),
-            on_time: saturated(self.on_time),
-            pace: self.pace_milli as f64 / 1000.0,
-            arrivals: self.arrivals_milli as f64 / 1000.0,
+            within_target: saturated(self.on_time),
+            placement_rate: self.pace_milli as f64 / 1000.0,
+            arrival_rate: self.arrivals_milli as f64 / 1000.0,
         }
     }
 
--- a/crates/gateway/src/cluster/pooled_count.rs
+++ b/crates/gateway/src/cluster/pooled_count.rs
@@ -9,7 +9,7 @@
 pub(super) struct PooledCount {
     /// Samples that the pool stands for with it.
     pub samples: u32,
-    part: f64,
+    fraction: f64,
 }
 
 impl PooledCount {
@@ -17,12 +17,12 @@
     pub fn new(ours: u32, theirs: u32) -> Self {
         let theirs = theirs.min(MAX_SAMPLES);
         let samples = ours.saturating_add(theirs);
-        PooledCount { samples, part: f64::from(theirs) / f64::from(samples.max(1)) }
+        PooledCount { samples, fraction: f64::from(theirs) / f64::from(samples.max(1)) }
     }
 
     /// The pool's mean, `ours` so far, with `theirs`.
     pub fn mean(&self, ours: f64, theirs: f64) -> f64 {
-        ours + (theirs - ours) * self.part
+        ours + (theirs - ours) * self.fraction
     }
 }
 
@@ -31,7 +31,7 @@
 /// Guards against a datagram that is not a gateway's: one that is no number, or
 /// beyond all bounds, would spoil every mean it is taken into, and a time made
 /// of it would end the process.
-pub(super) fn is_reliable(value: f64) -> bool {
+pub(super) fn is_valid(value: f64) -> bool {
     const MAX: f64 = 1e15;
     (0.0..=MAX).contains(&value)
 }
--- a/crates/gateway/src/cluster/rate_estimate.rs
+++ b/crates/gateway/src/cluster/rate_estimate.rs
@@ -5,10 +5,10 @@
 
 /// Departures are averaged over about this long: a burst's own pace counts
 /// after a second, and a clump of a few moves it by a tenth.
-const AVERAGE_TIME: Duration = Duration::from_secs(3);
+const AVERAGING_WINDOW: Duration = Duration::from_secs(3);
 /// The least share of the average that has been filled since the first
 /// departure: guards against a huge pace from a clump at the start.
-const MIN_FILLED: f64 = 0.2;
+const MIN_FILLED_FRACTION: f64 = 0.2;
 
 /// A pace averaged over departures, each of which weighs the same.
 ///
@@ -20,7 +20,7 @@
 pub struct RateEstimate {
     /// Departures a second as of the last one, not yet corrected for how
     /// short a time it covers.
-    weight: f64,
+    uncorrected_rate: f64,
     first_at: Option<Instant>,
     last_at: Option<Instant>,
     count: u32,
@@ -28,9 +28,10 @@
 
 impl RateEstimate {
     /// Notes a departure.
-    pub fn note(&mut self, now: Instant) {
+    pub fn record(&mut self, now: Instant) {
         let gap = self.last_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.weight = self.weight * decay(gap) + 1.0 / AVERAGE_TIME.as_secs_f64();
+        self.uncorrected_rate =
+            self.uncorrected_rate * decay_factor(gap) + 1.0 / AVERAGING_WINDOW.as_secs_f64();
         self.first_at.get_or_insert(now);
         self.last_at = Some(now);
         self.count = self.count.saturating_add(1);
@@ -49,16 +50,17 @@
         }
         let covered = last.saturating_duration_since(first).as_secs_f64();
         let covered = covered * f64::from(self.count) / f64::from(self.count - 1);
-        let filled = (1.0 - decay(Duration::from_secs_f64(covered))).max(MIN_FILLED);
+        let filled =
+            (1.0 - decay_factor(Duration::from_secs_f64(covered))).max(MIN_FILLED_FRACTION);
         // Half of the last departure: the average between just before and
         // just after one.
-        let pace = self.weight / filled - 0.5 / AVERAGE_TIME.as_secs_f64();
-        let quiet = now.saturating_duration_since(last).as_secs_f64();
-        let overdue = (quiet - 1.0 / pace).max(0.0);
-        pace * decay(Duration::from_secs_f64(overdue))
+        let rate = self.uncorrected_rate / filled - 0.5 / AVERAGING_WINDOW.as_secs_f64();
+        let idle = now.saturating_duration_since(last).as_secs_f64();
+        let overdue = (idle - 1.0 / rate).max(0.0);
+        rate * decay_factor(Duration::from_secs_f64(overdue))
     }
 }
 
-fn decay(time: Duration) -> f64 {
-    (-time.as_secs_f64() / AVERAGE_TIME.as_secs_f64()).exp()
+fn decay_factor(time: Duration) -> f64 {
+    (-time.as_secs_f64() / AVERAGING_WINDOW.as_secs_f64()).exp()
 }
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -7,7 +7,7 @@
 
 use super::PrefillRate;
 use super::pooled_count::PooledCount;
-use super::pooled_count::is_reliable;
+use super::pooled_count::is_valid;
 use crate::model::EngineSpec;
 
 /// Minimum number of streams before their mean is used.
@@ -55,10 +55,10 @@
     }
 
     /// Returns the pooled estimates of this and `other`, weighted by their numbers of streams.
-    pub fn with(&self, other: &StageBalance) -> StageBalance {
+    pub fn pooled_with(&self, other: &StageBalance) -> StageBalance {
         let pool = PooledCount::new(self.streams, other.streams);
         StageBalance {
-            reading: self.reading.with(&other.reading),
+            reading: self.reading.pooled_with(&other.reading),
             prompt_tokens: pool.mean(self.prompt_tokens, other.prompt_tokens),
             stay_s: pool.mean(self.stay_s, other.stay_s),
             token_s: pool.mean(self.token_s, other.token_s),
@@ -67,9 +67,9 @@
     }
 
     /// Returns false for values that no gateway can have estimated.
-    pub fn is_reliable(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let means = [self.prompt_tokens, self.stay_s, self.token_s];
-        means.into_iter().all(is_reliable) && self.reading.is_reliable()
+        means.into_iter().all(is_valid) && self.reading.is_valid()
     }
 
     /// Returns how many of `engines` should prefill prompts so that both stages are full at the
--- a/crates/gateway/src/cluster/typical_timeout.rs
+++ b/crates/gateway/src/cluster/typical_timeout.rs
@@ -19,15 +19,15 @@
 
 impl TypicalTimeout {
     /// Takes in a request's patience; how long its caller has been trying.
-    pub fn note(&mut self, patience: Duration) -> Duration {
-        if patience == self.value {
+    pub fn record(&mut self, timeout: Duration) -> Duration {
+        if timeout == self.value {
             self.votes = (self.votes + 1).min(MAX_VOTES);
         } else if self.votes == 0 {
-            self.value = patience;
+            self.value = timeout;
             self.votes = 1;
         } else {
             self.votes -= 1;
         }
-        self.value.saturating_sub(patience)
+        self.value.saturating_sub(timeout)
     }
 }
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -36,7 +36,7 @@
 
 /// From the room's being found to the first event, where what is learned of it
 /// is not asked for.
-pub(super) const FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
+pub(super) const FIRST_EVENT_TIME: Duration = FirstEventTime::DEFAULT;
 /// The first in line looks again this often: room at a server may come free
 /// without any event of ours.
 const LOOK_AGAIN: Duration = Duration::from_millis(40);
@@ -70,7 +70,7 @@
         let now = Instant::now();
         self.state
             .service_queues
-            .with_line(&self.call.service, |line| line.leave(self.ticket, self.is_placed, now));
+            .with_queue(&self.call.service, |line| line.leave(self.ticket, self.is_placed, now));
         self.state.room.notify(usize::MAX);
     }
 }
@@ -86,18 +86,18 @@
 ) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
     let learned = state.learned(&call.service);
-    let run_time = learned.outputs.run_time(shape.expected_output());
+    let run_time = learned.outputs.generation_time(shape.expected_output());
     let asker = QueueRequest {
-        occupancy: occupancy(shape, learned.opening.likely() + run_time),
-        on_time_until: on_time_until(call, &learned.opening),
-        tried_for: call.tried_for,
+        occupancy: occupancy(shape, learned.opening.p90() + run_time),
+        target_deadline: on_time_until(call, &learned.opening),
+        retrying_for: call.tried_for,
     };
     let give_up = give_up_at(call, run_time);
     let patience = give_up.saturating_duration_since(now);
     let others = state.other_lines(&call.service);
     let joined = state
         .service_queues
-        .with_line(&call.service, |line| line.join(asker, patience, others, now));
+        .with_queue(&call.service, |line| line.join(asker, patience, others, now));
     let ticket = joined.map_err(|refusal| {
         log_no_room(state, call, others, refusal.predicted);
         reject_call(call, Rejection::NoRoom, Some(refusal.retry_after), 0)
@@ -114,7 +114,7 @@
         }
         let now = Instant::now();
         let leads =
-            state.service_queues.with_line(&call.service, |line| line.leads_since(ticket, now));
+            state.service_queues.with_queue(&call.service, |line| line.head_since(ticket, now));
         let tries_at = leads.map(|since| tries_at(state, call, since));
         if tries_at.is_some_and(|at| now < at) && !is_told {
             state.work_changed.notify(1);
@@ -134,7 +134,9 @@
                     return Err(reject_call(call, Rejection::RateLimited, after, 0));
                 }
                 Err(PlacementError::NoRoom) => {
-                    state.service_queues.with_line(&call.service, AdmissionQueue::note_no_room);
+                    state
+                        .service_queues
+                        .with_queue(&call.service, AdmissionQueue::record_no_capacity);
                     if !is_told {
                         state.work_changed.notify(1);
                         is_told = true;
@@ -179,12 +181,12 @@
 /// When the lines ahead should have passed.
 pub(super) fn room_after(state: &GatewayState, call: &Call) -> Duration {
     let others = state.other_lines(&call.service);
-    state.service_queues.with_line(&call.service, |line| line.retry_after(others, Instant::now()))
+    state.service_queues.with_queue(&call.service, |line| line.retry_after(others, Instant::now()))
 }
 
 /// Logs what decided that a request finds no room.
 fn log_no_room(state: &GatewayState, call: &Call, others: PeerQueues, predicted: Duration) {
-    let waiting = state.service_queues.with_line(&call.service, |line| line.len());
+    let waiting = state.service_queues.with_queue(&call.service, |line| line.len());
     let now = Instant::now();
     let fleet = state.fleet();
     let (mut servers, mut running) = (0, 0);
@@ -201,7 +203,7 @@
         running,
         waiting,
         waiting_elsewhere = others.waiting,
-        pace_elsewhere = others.pace,
+        pace_elsewhere = others.placement_rate,
         gateways_heard = fleet.peers.heard(now),
         predicted_ms = predicted.as_millis() as u64,
         waited_ms = call.age_ms(),
@@ -224,7 +226,7 @@
 /// could still be on time.
 fn on_time_until(call: &Call, opening: &FirstEventTime) -> Instant {
     let target = call.route.target_latency.unwrap_or(MIN_GIVE_UP);
-    call.arrived + opening.latest_start(target).saturating_sub(call.tried_for)
+    call.arrived + opening.max_placement_delay(target).saturating_sub(call.tried_for)
 }
 
 /// When waiting ends: so that the first event still comes before the caller
@@ -249,7 +251,7 @@
 ) -> Result<PlacedStream, PlacementError> {
     let EnginePlacement { decode, prefill, cost } = {
         let now = Instant::now();
-        let line = state.service_queues.with_line(&call.service, |line| line.news(now));
+        let line = state.service_queues.with_queue(&call.service, |line| line.queue_update(now));
         let fleet = state.fleet();
         let service = server_digest(&call.service);
         let ahead = line.map_or(0, |line| fleet.peers.waiting_before(service, &line, now));
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -98,7 +98,7 @@
     let took = begun.elapsed();
     state
         .service_queues
-        .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
+        .with_stage_balance(&call.service, |balance| balance.reading.record(tokens_ahead, took));
     state.note_outcome(&target, ServerOutcome::Fine);
     tracing::info!(
         event = events::PREFILL_DONE,
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -70,7 +70,7 @@
     metrics::histogram!("umberglade_first_event_seconds").record(first_event.as_secs_f64());
     if attempts.sends() == 1 {
         let took = stream.hold.age();
-        state.service_queues.with_opening(&call.service, |opening| opening.note(took));
+        state.service_queues.with_first_event_time(&call.service, |opening| opening.record(took));
     }
     let (sender, body) = answer::pieces();
     let mut response = Response::new(body);
@@ -231,10 +231,11 @@
         let made = self.relayed as u32 * self.call.engine_spec().tokens_per_event;
         let took = self.call.arrived.elapsed().saturating_sub(self.first_event);
         let service_queues = &self.state.service_queues;
-        service_queues.with_outputs(&self.call.service, |outputs| outputs.note(made, took));
+        service_queues
+            .with_output_estimate(&self.call.service, |outputs| outputs.record(made, took));
         let prompt_tokens = self.call.prompt_shape().prompt_tokens;
         let stay = stream.hold.age();
-        service_queues.with_balance(&self.call.service, |balance| {
+        service_queues.with_stage_balance(&self.call.service, |balance| {
             balance.record_stream(prompt_tokens, made, stay);
         });
         self.state.note_outcome(&stream.target, ServerOutcome::Fine);
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -16,11 +16,11 @@
 
 /// How long a request with an unknown route or key waits for a configuration that
 /// may know it: a read of the store and a margin.
-const NEWER_WAIT: Duration = Duration::from_millis(400);
+const NEWER_CONFIG_TIMEOUT: Duration = Duration::from_millis(400);
 /// Such a request looks this often.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How soon to come back where none could be had.
-pub(super) const NEWER_RETRY: Duration = Duration::from_millis(500);
+pub(super) const CONFIG_UNSETTLED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// What a configuration says of a request.
 pub(super) struct FoundRoute {
@@ -31,7 +31,7 @@
 
 impl FoundRoute {
     /// What servers are told of who calls.
-    pub fn mark(&self) -> CallerMark {
+    pub fn caller_mark(&self) -> CallerMark {
         CallerMark {
             organisation: self.organisation.as_ref().map(|of| of.name.clone()),
             hides_key: !self.table.organisations.is_empty(),
@@ -50,26 +50,26 @@
     path: &str,
     key: &CallerKey,
 ) -> Result<FoundRoute, Rejection> {
-    let until = Instant::now() + NEWER_WAIT;
+    let deadline = Instant::now() + NEWER_CONFIG_TIMEOUT;
     loop {
         let table = state.table().ok_or(Rejection::NoConfiguration)?;
-        let refusal = match look_up(table, host, path, key) {
+        let rejection = match match_route(table, host, path, key) {
             Ok(found) => return Ok(found),
-            Err(refusal) => refusal,
+            Err(rejection) => rejection,
         };
         if state.has_newest_config() {
-            return Err(refusal);
+            return Err(rejection);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(Rejection::ConfigUnsettled);
         }
         state.ask_for_config();
         // A change that comes meanwhile is seen at the next look.
-        by_deadline(until.min(Instant::now() + LOOK_AGAIN), state.room.listen()).await;
+        by_deadline(deadline.min(Instant::now() + POLL_INTERVAL), state.room.listen()).await;
     }
 }
 
-fn look_up(
+fn match_route(
     table: Arc<RouteTable>,
     host: &str,
     path: &str,
--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -19,7 +19,7 @@
 use umberglade_wire::pool;
 
 use super::read_call::CallAborted;
-use super::read_call::ReadEnd;
+use super::read_call::ReadOutcome;
 use super::read_call::read_call;
 use crate::codec::PlatformCodec;
 use crate::events;
@@ -31,9 +31,9 @@
 
 /// The pause after a failed accept, which mostly means that descriptors
 /// have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// The least read buffer the HTTP library takes.
-const MIN_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
 /// Accepts callers until the process ends.
 pub async fn serve_front<C: PlatformCodec>(listener: TcpListener, state: Arc<GatewayState>) {
@@ -47,7 +47,7 @@
             }
             Err(error) => {
                 tracing::warn!(event = events::ACCEPT_FAILED, %error, "accept failed");
-                smol::Timer::after(ACCEPT_PAUSE).await;
+                smol::Timer::after(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -56,16 +56,17 @@
 async fn serve_connection<C: PlatformCodec>(stream: TcpStream, state: Arc<GatewayState>) {
     let limits = state.table().map(|table| table.limits).unwrap_or_default();
     let service_state = Arc::clone(&state);
-    let service = service_fn(move |request| answer::<C>(Arc::clone(&service_state), request));
+    let service =
+        service_fn(move |request| handle_request::<C>(Arc::clone(&service_state), request));
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
         // Counted from when the connection falls idle, so it must allow for
         // the longest idle time, which is the larger of the two limits.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
-    let ended = async {
+    let connection_ended = async {
         // Its error is the caller's connection breaking; each request on it
         // has logged its own end.
         let _ = connection.as_mut().await;
@@ -73,30 +74,30 @@
     };
     // A connection that comes later than that is not closed while idle: its
     // first request may be on its way, and the answer to it closes it.
-    let is_late = state.stop.has_lasted(CLOSE_TIME);
+    let opened_after_close = state.stop.has_lasted(CLOSE_TIME);
     // Late ones may stay idle, and a stop does not wait for them.
-    let _open = (!is_late).then(|| state.flights.enter_connection());
-    let closing = async {
-        if is_late {
+    let _connection_guard = (!opened_after_close).then(|| state.flights.enter_connection());
+    let close_time_passed = async {
+        if opened_after_close {
             std::future::pending::<()>().await;
         }
         state.stop.lasted(CLOSE_TIME).await;
         false
     };
-    if !ended.or(closing).await {
+    if !connection_ended.or(close_time_passed).await {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
 }
 
-async fn answer<C: PlatformCodec>(
+async fn handle_request<C: PlatformCodec>(
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Result<Response<GatewayBody>, CallAborted> {
     let _in_flight = state.flights.enter_request();
     let mut response = match read_call::<C>(&state, request).await? {
-        ReadEnd::Call(call) => forward::forward::<C>(&state, call).await,
-        ReadEnd::Refused(response) => response,
+        ReadOutcome::Call(call) => forward::forward::<C>(&state, call).await,
+        ReadOutcome::Rejected(response) => response,
     };
     if state.stop.has_lasted(NOTICE_TIME) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -17,8 +17,8 @@
 use hyper::body::Incoming;
 use snafu::Snafu;
 
+use super::find_route::CONFIG_UNSETTLED_RETRY_AFTER;
 use super::find_route::FoundRoute;
-use super::find_route::NEWER_RETRY;
 use super::find_route::find_route;
 use crate::cluster::organisation_digest;
 use crate::codec::PlatformCodec;
@@ -39,12 +39,12 @@
 /// How long a request waits for the first configuration and servers: reading
 /// both takes some 20 ms after a start, and callers whose connections broke
 /// with the process before come back at once.
-const START_WAIT: Duration = Duration::from_millis(400);
+const STARTUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// How soon to come back when no configuration is known yet: reading it
 /// takes a few calls of the store.
-const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(300);
 /// How long a caller may wait when neither it nor the route says.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a body may take to arrive: guards against a connection that
 /// went silent behind its head.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
@@ -56,36 +56,36 @@
 pub struct CallAborted;
 
 /// What reading a request ended with.
-pub enum ReadEnd {
+pub enum ReadOutcome {
     Call(Arc<Call>),
-    Refused(Response<GatewayBody>),
+    Rejected(Response<GatewayBody>),
 }
 
 /// Reads `request` whole; refuses it where no route or limit allows it.
 pub async fn read_call<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Result<ReadEnd, CallAborted> {
+) -> Result<ReadOutcome, CallAborted> {
     let arrived = Instant::now();
     let mut head = C::call_head(request.headers());
     let request_id = head.request_id.clone();
     let request_id = request_id.as_deref().unwrap_or("-");
-    by_deadline(arrived + START_WAIT, state.known()).await;
+    by_deadline(arrived + STARTUP_TIMEOUT, state.known()).await;
     let host = stated_host(request.headers(), request.uri()).unwrap_or_default();
     let found = match find_route(state, host, request.uri().path(), &head.key).await {
         Ok(found) => found,
-        Err(refusal) => return Ok(refuse_unrouted(state, request_id, &head.key, refusal)),
+        Err(rejection) => return Ok(reject_unrouted(state, request_id, &head.key, rejection)),
     };
-    let mark = found.mark();
+    let caller_mark = found.caller_mark();
     let FoundRoute { table, route, organisation } = found;
     if request.body().size_hint().lower() > table.limits.max_body_bytes as u64 {
-        return Ok(refused(request_id, Rejection::TooLarge, None, table.version));
+        return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::mark_caller(&mut parts.headers, &mark);
+    C::mark_caller(&mut parts.headers, &caller_mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
-        None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
+        None => return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version)),
     };
     let content = ContentParts {
         method: parts.method.as_str(),
@@ -97,20 +97,27 @@
     .digest();
     let draw = umberglade_wire::digest(request_id.as_bytes());
     let service = route.service(draw).clone();
-    let spec = spec_of(&table, &service);
+    let spec = service_spec(&table, &service);
     if let Some(prompt) = &mut head.prompt {
-        prompt.output_estimate = state.learned(&service).outputs.expect(prompt.output_estimate);
+        prompt.output_estimate =
+            state.learned(&service).outputs.expected_tokens(prompt.output_estimate);
     }
     let charge = match charge(state, organisation.as_deref(), &head) {
         Ok(charge) => charge,
         Err(after) => {
-            return Ok(refused(request_id, Rejection::QuotaSpent, Some(after), table.version));
+            return Ok(reject_request(
+                request_id,
+                Rejection::QuotaSpent,
+                Some(after),
+                table.version,
+            ));
         }
     };
-    let head_patience = head.patience;
-    let patience = head_patience.unwrap_or(DEFAULT_PATIENCE);
-    let allowed = route.timeout.map_or(patience, |timeout| timeout.min(patience));
-    Ok(ReadEnd::Call(Arc::new(Call {
+    let stated_timeout = head.patience;
+    let requested_timeout = stated_timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let time_limit =
+        route.timeout.map_or(requested_timeout, |timeout| timeout.min(requested_timeout));
+    Ok(ReadOutcome::Call(Arc::new(Call {
         method: parts.method,
         uri: parts.uri,
         headers: parts.headers,
@@ -123,12 +130,12 @@
         spec,
         config: table.version,
         arrived,
-        tried_for: state.service_queues.tried_for(&route.name, head_patience),
-        deadline: arrived + allowed,
+        tried_for: state.service_queues.retrying_for(&route.name, stated_timeout),
+        deadline: arrived + time_limit,
     })))
 }
 
-fn spec_of(table: &RouteTable, service: &str) -> crate::model::ServiceSpec {
+fn service_spec(table: &RouteTable, service: &str) -> crate::model::ServiceSpec {
     table
         .services
         .get(service)
@@ -167,14 +174,14 @@
 }
 
 /// Refuses a request that the configuration in force does not allow.
-fn refuse_unrouted(
+fn reject_unrouted(
     state: &GatewayState,
     request_id: &str,
     key: &CallerKey,
-    refusal: Rejection,
-) -> ReadEnd {
+    rejection: Rejection,
+) -> ReadOutcome {
     let version = state.config_version();
-    if refusal == Rejection::UnknownKey {
+    if rejection == Rejection::UnknownKey {
         let key = match key {
             CallerKey::Sent(digest) => digest.to_string(),
             CallerKey::None => "none".to_owned(),
@@ -188,12 +195,12 @@
             "unknown key"
         );
     }
-    let retry_after = match refusal {
-        Rejection::NoConfiguration => Some(NO_CONFIGURATION_RETRY),
-        Rejection::ConfigUnsettled => Some(NEWER_RETRY),
+    let retry_after = match rejection {
+        Rejection::NoConfiguration => Some(NO_CONFIGURATION_RETRY_AFTER),
+        Rejection::ConfigUnsettled => Some(CONFIG_UNSETTLED_RETRY_AFTER),
         _ => None,
     };
-    refused(request_id, refusal, retry_after, version)
+    reject_request(request_id, rejection, retry_after, version)
 }
 
 /// The whole body; `None` when it is longer than `limit`.
@@ -205,26 +212,26 @@
             Err(_) => Err(CallAborted),
         }
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(BODY_TIMEOUT).await;
         Err(CallAborted)
     };
-    read.or(late).await
+    read.or(timeout).await
 }
 
-fn refused(
+fn reject_request(
     request_id: &str,
-    refusal: Rejection,
+    rejection: Rejection,
     retry_after: Option<Duration>,
     config: u64,
-) -> ReadEnd {
+) -> ReadOutcome {
     tracing::info!(
         event = events::CALL_REFUSED,
         request_id,
-        reason = %refusal,
-        status = refusal.status().as_u16(),
+        reason = %rejection,
+        status = rejection.status().as_u16(),
         config,
         "refused"
     );
-    ReadEnd::Refused(refuse(refusal, retry_after))
+    ReadOutcome::Rejected(refuse(rejection, retry_after))
 }
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -68,7 +68,7 @@
     spec: &EngineSpec,
     now: Instant,
 ) -> StageSnapshot {
-    let own = state.service_queues.with_line(service, |line| line.len());
+    let own = state.service_queues.with_queue(service, |line| line.len());
     let waiting = own + state.other_lines(service).waiting as usize;
     let look = stage_snapshot(&state.fleet(), service, waiting, now);
     let target_prefill =
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -143,7 +143,7 @@
         store_calm_ms: store_calm.as_millis() as u64,
         retries: state.own_retries(),
         aside,
-        lines: state.service_queues.own_lines(now),
+        lines: state.service_queues.local_queues(now),
         changing,
         learned: tells_learned.then(|| state.own_learning()),
         config: state.config_version(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -216,13 +216,13 @@
         let Some(table) = self.table() else { return Vec::new() };
         let services = table.services.iter().filter(|(_, spec)| spec.engine.is_some());
         services
-            .map(|(service, _)| (server_digest(service), self.service_queues.learned(service)))
+            .map(|(service, _)| (server_digest(service), self.service_queues.estimates(service)))
             .collect()
     }
 
     /// What all gateways have learned of the engines of `service`.
     pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
-        let own = self.service_queues.learned(service);
+        let own = self.service_queues.estimates(service);
         let fleet = self.fleet();
         let others = fleet.peers.learned(server_digest(service));
         EngineEstimates::pooled(others.chain([own]))
--- a/crates/gateway/tests/first_event_time.rs
+++ b/crates/gateway/tests/first_event_time.rs
@@ -4,43 +4,43 @@
 
 use umberglade_gateway::cluster::FirstEventTime;
 
-struct OpeningCase {
+struct FirstEventCase {
     name: &'static str,
     /// Milliseconds that streams took, over and over.
     took: &'static [u64],
     /// Within this most of them have begun.
-    likely_ms: std::ops::RangeInclusive<u64>,
+    p90_ms: std::ops::RangeInclusive<u64>,
 }
 
-fn learned(took: &[u64]) -> FirstEventTime {
-    let mut opening = FirstEventTime::default();
+fn recorded(took: &[u64]) -> FirstEventTime {
+    let mut first_event_time = FirstEventTime::default();
     for at in 0..200 {
-        opening.note(Duration::from_millis(took[at % took.len()]));
+        first_event_time.record(Duration::from_millis(took[at % took.len()]));
     }
-    opening
+    first_event_time
 }
 
 /// Requests leave a full line just before an answer begun would be late. With
 /// the usual time to the first event alone, a third of all answers given out
 /// in a burst came too late by less than a tenth of a second.
 #[test]
-fn nine_of_ten_streams_begin_within_what_is_likely() {
+fn nine_of_ten_streams_begin_within_p90() {
     let cases = [
-        OpeningCase { name: "even", took: &[250], likely_ms: 250..=250 },
-        OpeningCase {
-            name: "as measured",
+        FirstEventCase { name: "even", took: &[250], p90_ms: 250..=250 },
+        FirstEventCase {
+            name: "typical spread",
             took: &[220, 230, 240, 250, 255, 260, 270, 290, 330, 400],
-            likely_ms: 320..=400,
+            p90_ms: 320..=400,
         },
-        OpeningCase {
+        FirstEventCase {
             name: "slow links",
             took: &[800, 900, 1000, 1100, 1400],
-            likely_ms: 1200..=1500,
+            p90_ms: 1200..=1500,
         },
     ];
     for case in cases {
-        let likely = learned(case.took).likely().as_millis() as u64;
-        assert!(case.likely_ms.contains(&likely), "{}: {likely}", case.name);
+        let p90 = recorded(case.took).p90().as_millis() as u64;
+        assert!(case.p90_ms.contains(&p90), "{}: {p90}", case.name);
     }
 }
 
@@ -49,26 +49,26 @@
 /// what it saw then, no newcomer could be on time for twelve seconds, all waited
 /// in the order of arrival, and all were late.
 #[test]
-fn a_slow_start_is_forgotten_soon() {
+fn the_estimate_recovers_soon_after_a_slow_start() {
     const TARGET: Duration = Duration::from_millis(900);
-    let mut opening = FirstEventTime::default();
-    (0..10).for_each(|_| opening.note(Duration::from_millis(1500)));
-    let worst = opening.latest_start(TARGET);
-    assert!(worst >= TARGET / 3, "newcomers can be on time at any time: {worst:?}");
-    let well = Duration::from_millis(260);
-    (0..10).for_each(|_| opening.note(well));
-    let soon = opening.likely();
+    let mut first_event_time = FirstEventTime::default();
+    (0..10).for_each(|_| first_event_time.record(Duration::from_millis(1500)));
+    let worst = first_event_time.max_placement_delay(TARGET);
+    assert!(worst >= TARGET / 3, "new requests can always be within target: {worst:?}");
+    let normal = Duration::from_millis(260);
+    (0..10).for_each(|_| first_event_time.record(normal));
+    let soon = first_event_time.p90();
     assert!(soon < TARGET, "{soon:?} after five seconds");
-    (0..10).for_each(|_| opening.note(well));
-    assert!(opening.likely() < well * 3 / 2, "{:?} after ten", opening.likely());
+    (0..10).for_each(|_| first_event_time.record(normal));
+    assert!(first_event_time.p90() < normal * 3 / 2, "{:?} after ten", first_event_time.p90());
 }
 
 #[test]
-fn too_few_streams_tell_nothing_alone_and_much_together() {
+fn too_few_streams_are_used_only_when_pooled() {
     let mut one = FirstEventTime::default();
-    (0..3).for_each(|_| one.note(Duration::from_millis(700)));
-    let unknown = FirstEventTime::default().likely();
-    assert_eq!(one.likely(), unknown);
-    let pool = (0..10).fold(FirstEventTime::default(), |pool, _| pool.with(&one));
-    assert_eq!(pool.likely(), Duration::from_millis(700));
+    (0..3).for_each(|_| one.record(Duration::from_millis(700)));
+    let unknown = FirstEventTime::default().p90();
+    assert_eq!(one.p90(), unknown);
+    let pool = (0..10).fold(FirstEventTime::default(), |pool, _| pool.pooled_with(&one));
+    assert_eq!(pool.p90(), Duration::from_millis(700));
 }
--- a/crates/gateway/tests/output_estimate.rs
+++ b/crates/gateway/tests/output_estimate.rs
@@ -4,12 +4,12 @@
 
 use umberglade_gateway::cluster::OutputEstimate;
 
-const TOOK: Duration = Duration::from_secs(3);
+const DURATION: Duration = Duration::from_secs(3);
 
 /// Answers so far, each this long, and what is then expected.
-struct GuessCase {
+struct EstimateCase {
     name: &'static str,
-    answers: u32,
+    responses: u32,
     length: u32,
     estimate: Option<u32>,
     expected: Option<u32>,
@@ -19,29 +19,29 @@
 /// alone they fill an engine past its memory, and a stream pauses while its
 /// prompt is read a second time.
 #[test]
-fn estimates_are_weighed_with_usual_answers() {
-    let case = |name, answers, length, estimate, expected| GuessCase {
+fn caller_estimates_are_weighted_with_typical_lengths() {
+    let case = |name, responses, length, estimate, expected| EstimateCase {
         name,
-        answers,
+        responses,
         length,
         estimate,
         expected,
     };
     let cases = [
         case("nothing known", 0, 0, None, None),
-        case("too few answers", 5, 3400, Some(800), Some(800)),
+        case("too few responses", 5, 3400, Some(800), Some(800)),
         case("no estimate", 6, 3400, None, Some(3638)),
-        case("as usual", 6, 3400, Some(3400), Some(3638)),
+        case("typical", 6, 3400, Some(3400), Some(3638)),
         case("estimated short", 50, 3600, Some(900), Some(1926)),
         case("estimated long", 50, 900, Some(3600), Some(1926)),
-        case("estimated nothing", 50, 3600, Some(0), Some(64)),
+        case("estimated zero", 50, 3600, Some(0), Some(64)),
     ];
     for case in cases {
-        let mut guess = OutputEstimate::default();
-        for _ in 0..case.answers {
-            guess.note(case.length, TOOK);
+        let mut output_estimate = OutputEstimate::default();
+        for _ in 0..case.responses {
+            output_estimate.record(case.length, DURATION);
         }
-        let expected = guess.expect(case.estimate);
+        let expected = output_estimate.expected_tokens(case.estimate);
         let near = |left: u32, right: u32| left.abs_diff(right) <= 2;
         let is_right = match (expected, case.expected) {
             (Some(left), Some(right)) => near(left, right),
@@ -54,21 +54,21 @@
 /// Answers become twice as long when a configuration changes what is asked;
 /// within some dozens of answers the new length is expected.
 #[test]
-fn the_usual_length_follows_the_answers() {
-    let mut guess = OutputEstimate::default();
-    (0..100).for_each(|_| guess.note(1000, TOOK));
-    (0..60).for_each(|_| guess.note(2000, TOOK));
-    let expected = guess.expect(None).unwrap();
+fn the_typical_length_follows_the_responses() {
+    let mut output_estimate = OutputEstimate::default();
+    (0..100).for_each(|_| output_estimate.record(1000, DURATION));
+    (0..60).for_each(|_| output_estimate.record(2000, DURATION));
+    let expected = output_estimate.expected_tokens(None).unwrap();
     assert!((1950..2200).contains(&expected), "{expected}");
 }
 
 /// A caller that came back has seven seconds left and waits for three of
 /// them. Its answer takes five: it must be refused before, not cut then.
 #[test]
-fn the_time_an_answer_takes_is_known() {
-    let mut guess = OutputEstimate::default();
-    assert_eq!(guess.run_time(4000), Duration::ZERO, "nothing known");
-    (0..20).for_each(|_| guess.note(3000, TOOK));
-    let time = guess.run_time(4000).as_secs_f64();
+fn the_generation_time_is_estimated() {
+    let mut output_estimate = OutputEstimate::default();
+    assert_eq!(output_estimate.generation_time(4000), Duration::ZERO, "nothing known");
+    (0..20).for_each(|_| output_estimate.record(3000, DURATION));
+    let time = output_estimate.generation_time(4000).as_secs_f64();
     assert!((3.9..4.1).contains(&time), "{time}");
 }
--- a/crates/gateway/tests/line_order.rs
+++ b/crates/gateway/tests/queue_order.rs
@@ -28,12 +28,12 @@
 /// With more counted before them than look, places stay free that someone waits
 /// for; with fewer, two meet at one place and one is rejected.
 #[test]
-fn the_rank_among_all_lines() {
+fn the_rank_among_all_queues() {
     struct RankCase {
         name: &'static str,
-        others: &'static [QueueUpdate],
-        own: QueueUpdate,
-        before: usize,
+        peers: &'static [QueueUpdate],
+        local: QueueUpdate,
+        ahead: usize,
     }
     const MIN: QueueUpdate = QueueUpdate {
         waiting: 5,
@@ -49,46 +49,61 @@
         QueueUpdate { is_first_late: true, on_time: 0, first_age_ms: 2000, ..MIN };
     const NOBODY: QueueUpdate = QueueUpdate { waiting: 0, on_time: 0, ..MIN };
     let cases = [
-        RankCase { name: "alone", others: &[], own: on_time(50, 3), before: 0 },
-        RankCase { name: "nobody waits there", others: &[NOBODY], own: on_time(50, 3), before: 0 },
+        RankCase { name: "alone", peers: &[], local: on_time(50, 3), ahead: 0 },
         RankCase {
-            name: "of a line that takes less, its first",
-            others: &[MIN, MAX],
-            own: on_time(50, 3),
-            before: 1,
+            name: "empty queue at the peer",
+            peers: &[NOBODY],
+            local: on_time(50, 3),
+            ahead: 0,
         },
         RankCase {
-            name: "several that take less",
-            others: &[MIN, MIN, MAX],
-            own: on_time(50, 3),
-            before: 2,
+            name: "one request per queue of lower occupancy",
+            peers: &[MIN, MAX],
+            local: on_time(50, 3),
+            ahead: 1,
         },
-        RankCase { name: "late ones wait", others: &[LATE], own: on_time(50, 3), before: 0 },
         RankCase {
-            name: "a late one behind those on time",
-            others: &[MIN, MAX],
-            own: late(3000, 1),
-            before: 2,
+            name: "several queues of lower occupancy",
+            peers: &[MIN, MIN, MAX],
+            local: on_time(50, 3),
+            ahead: 2,
         },
         RankCase {
-            name: "late ones in the order of their first try, all of a line",
-            others: &[LATE, LATE],
-            own: late(1000, 1),
-            before: 10,
+            name: "requests past target go after",
+            peers: &[LATE],
+            local: on_time(50, 3),
+            ahead: 0,
+        },
+        RankCase {
+            name: "past target, behind those within",
+            peers: &[MIN, MAX],
+            local: late(3000, 1),
+            ahead: 2,
+        },
+        RankCase {
+            name: "past target by age, whole queues ahead",
+            peers: &[LATE, LATE],
+            local: late(1000, 1),
+            ahead: 10,
+        },
+        RankCase {
+            name: "the longest past target",
+            peers: &[LATE],
+            local: late(4000, 1),
+            ahead: 0,
         },
-        RankCase { name: "the longest late", others: &[LATE], own: late(4000, 1), before: 0 },
     ];
     let now = Instant::now();
     for case in cases {
         let mut peers = PeerReports::default();
-        for (at, line) in case.others.iter().enumerate() {
+        for (at, update) in case.peers.iter().enumerate() {
             let news = PeerUpdate {
-                lines: [(SERVICE, *line)].into_iter().collect(),
+                lines: [(SERVICE, *update)].into_iter().collect(),
                 ..PeerUpdate::default()
             };
             peers.note(&format!("peer-{at}"), 1, 1, news, now);
         }
-        let before = peers.waiting_before(SERVICE, &case.own, now);
-        assert_eq!(before, case.before, "{}", case.name);
+        let ahead = peers.waiting_before(SERVICE, &case.local, now);
+        assert_eq!(ahead, case.ahead, "{}", case.name);
     }
 }
--- a/crates/gateway/tests/stage_balance.rs
+++ b/crates/gateway/tests/stage_balance.rs
@@ -18,7 +18,7 @@
     let mut rate = PrefillRate::default();
     for tokens in prompts() {
         let millis = base_ms + f64::from(tokens) / tokens_per_ms;
-        rate.note(tokens, Duration::from_secs_f64(millis / 1000.0));
+        rate.record(tokens, Duration::from_secs_f64(millis / 1000.0));
     }
     rate
 }
@@ -46,7 +46,7 @@
         assert!((estimated_ms / expected_ms - 1.0).abs() < 0.3, "{estimated_ms} for {expected_ms}");
     }
     let mut new = PrefillRate::default();
-    new.note(5000, Duration::from_millis(200));
+    new.record(5000, Duration::from_millis(200));
     assert_eq!(new.millis_per_token(), None, "one prompt is not enough");
 }
 
@@ -55,7 +55,7 @@
 #[test]
 fn prompts_of_one_length_count_in_full() {
     let mut rate = PrefillRate::default();
-    (0..40).for_each(|_| rate.note(1000, Duration::from_millis(100)));
+    (0..40).for_each(|_| rate.record(1000, Duration::from_millis(100)));
     let slope = rate.millis_per_token().expect("enough prompts");
     assert!((slope - 0.1).abs() < 0.001, "{slope}");
 }
