--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -1,4 +1,4 @@
-//! Who waits for an engine's room, and who is refused at once.
+//! Admission queue: which requests wait for engine capacity, and which are rejected at once.
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -10,75 +10,77 @@
 
 use super::RateEstimate;
 
-/// A place in the line.
+/// Identifies a request in the queue.
 pub type Ticket = u64;
 
-/// Departures needed before the pace is believed.
+/// Minimum number of departures before the placement rate is used.
 const MIN_DEPARTURES: u32 = 4;
-/// A pace not worth telling: less than a request in ten seconds.
+/// Minimum placement rate at which an empty queue is reported: a request in ten seconds.
 const MIN_REPORTED_RATE_MILLI: u32 = 100;
-/// The least time told to a refused caller.
+/// Minimum `retry_after` of a rejected caller.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
-/// The longest: a burst lasts some four seconds, and a caller of a stream that
-/// has waited in vain has some ten left, of which it gives a third.
+/// Maximum `retry_after`: bursts last about 4 s, and a streaming caller whose wait was in vain has
+/// about 10 s left, a third of which it is willing to wait.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(3500);
-/// The least part of the pace that is taken to be left beside new callers.
+/// Minimum fraction of the placement rate that is assumed to be left beside new requests.
 const MIN_SPARE_FRACTION: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy)]
 struct QueuedRequest {
     /// See [`QueueRequest::occupancy`].
     occupancy: u64,
-    /// When its caller first tried.
+    /// When the caller sent its first request.
     first_requested_at: Instant,
-    /// Until then an answer begun now is still on time.
+    /// Until then, a response started now is still within its latency target.
     target_deadline: Instant,
 }
 
-/// A line as the other gateways hear of it.
+/// State of a queue as reported to peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueUpdate {
     pub waiting: u32,
-    /// Those of them that can still be on time.
+    /// Those of them that can still be within their latency target.
     pub on_time: u32,
-    /// How long the first in line has waited.
+    /// How long the head of the queue has been waiting, counted from its caller's first request.
     pub first_age_ms: u32,
-    /// True when it can no longer be on time.
+    /// True when the head of the queue can no longer be within its latency target.
     pub is_first_late: bool,
     /// See [`QueueRequest::occupancy`].
     pub first_occupancy: u64,
-    /// Requests placed in a thousand seconds.
+    /// Requests placed per 1,000 seconds.
     pub pace_milli: u32,
-    /// New requests in a thousand seconds.
+    /// New requests per 1,000 seconds.
     pub arrivals_milli: u32,
 }
 
-/// The lines at all other gateways together.
+/// Sum of the queues at all peers.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct PeerQueues {
     pub waiting: u32,
-    /// Those of them that can still be on time.
+    /// Those of them that can still be within their latency target.
     pub within_target: u32,
-    /// Requests placed a second.
+    /// Requests placed per second.
     pub placement_rate: f64,
-    /// New requests a second.
+    /// New requests per second.
     pub arrival_rate: f64,
 }
 
-/// Who asks for a place in line.
+/// A request that asks to be queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRequest {
-    /// What it takes of an engine: tokens of memory times the milliseconds for
-    /// which it is expected to hold them.
+    /// The request's expected use of an engine: KV cache tokens times the milliseconds for which it
+    /// is expected to hold them.
     pub occupancy: u64,
-    /// Until then an answer begun is still on time.
+    /// Until then, a response that starts is still within its latency target.
     pub target_deadline: Instant,
-    /// How long its caller has been trying with earlier requests.
+    /// How long the caller has been retrying, counted from its first request; zero for a new
+    /// caller.
     pub retrying_for: Duration,
 }
 
 impl QueueUpdate {
-    /// True when this line's first goes before `other`'s, wherever they wait.
+    /// Returns true when the head of this queue precedes the head of `other`, whichever gateways
+    /// they wait at.
     pub fn precedes(&self, other: &QueueUpdate) -> bool {
         let key = |update: &QueueUpdate| match update.is_first_late {
             false => (false, update.first_occupancy, Reverse(0)),
@@ -88,44 +90,43 @@
     }
 }
 
-/// Why a request was refused instead of waiting.
+/// Why a request was rejected instead of queued.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRejection {
-    /// How long the line ahead is predicted to take.
+    /// How long the wait is predicted to be.
     pub predicted: Duration,
-    /// When the caller should come back.
+    /// When the caller should retry.
     pub retry_after: Duration,
 }
 
-/// The requests of one service that wait for room.
+/// Requests of one service that wait for engine capacity.
 ///
-/// Those that can still be on time go first, those that take least of an engine
-/// before the others: when not all can be on time, most callers are served so.
-/// Those already late share what is left, in the order in which their
-/// callers first tried: one that was refused once does not come back again. In a burst that
-/// outlasts the target, first-come-first-served would make every answer
-/// late; this way the late ones stay late and the others don't become so.
+/// Requests that can still be within their latency target go first, those of least occupancy before
+/// the others: when capacity does not suffice for all, this order serves the most callers within
+/// target. Requests past their target share the remaining capacity in the order of their callers'
+/// first requests, because a caller that has been rejected once does not retry a second time. In a
+/// burst longer than the target, first-come-first-served would make every response late; with this
+/// order, late requests do not delay the others past their targets.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     queued: BTreeMap<Ticket, QueuedRequest>,
     next_ticket: Ticket,
     placement_rate: RateEstimate,
-    /// New requests, whether they had to wait or not.
+    /// All new requests, queued or not.
     arrival_rate: RateEstimate,
-    /// True when whoever was first in line last found no room.
+    /// True when the last attempt to place the head of the queue found no capacity.
     is_blocked: bool,
-    /// The first in line as last seen, and since when.
+    /// The head of the queue at the last check, and since when.
     last_head: Option<(Ticket, Instant)>,
 }
 
 impl AdmissionQueue {
-    /// Takes a place in line, or refuses at once when the lines here and
-    /// elsewhere are predicted to outlast `patience`.
+    /// Queues a request, or rejects it at once when it is predicted to wait longer than `max_wait`
+    /// for the local queue and those of its peers.
     ///
-    /// The lines are taken together because room is: one of 79 gateways
-    /// places a request each three seconds, and by its own pace it refused
-    /// every second caller that had to wait at all (542 refused at once of
-    /// 1,112 asked, with half of the engines' places free).
+    /// Queues and rates of all gateways are added up because they share the engines. One of 79
+    /// gateways places a request every 3 s; on its own rate alone it would reject half of the
+    /// callers that have to wait (542 of 1,112) while half of the engines' slots are free.
     pub fn join(
         &mut self,
         request: QueueRequest,
@@ -150,8 +151,8 @@
         Ok(self.next_ticket)
     }
 
-    /// Since when the holder of `ticket` has been the first here, and so the one
-    /// to try for room; `None` while another is.
+    /// Returns since when the holder of `ticket` has been the head of the queue, and so the one to
+    /// try for capacity; `None` while another request is.
     pub fn head_since(&mut self, ticket: Ticket, now: Instant) -> Option<Instant> {
         let (head, _) = self.head(now)?;
         if self.last_head.is_none_or(|(last_head, _)| last_head != head) {
@@ -160,8 +161,8 @@
         self.last_head.filter(|(last_head, _)| *last_head == ticket).map(|(_, since)| since)
     }
 
-    /// What the other gateways are told; `None` when nobody waits, and none
-    /// has been placed for long.
+    /// Returns the report for peers; `None` when the queue is empty and the placement rate is
+    /// negligible.
     pub fn queue_update(&self, now: Instant) -> Option<QueueUpdate> {
         let pace_milli = (self.placement_rate.per_second(now) * 1000.0) as u32;
         let arrivals_milli = (self.arrival_rate.per_second(now) * 1000.0) as u32;
@@ -200,7 +201,7 @@
         head.map(|(ticket, request)| (*ticket, *request))
     }
 
-    /// Leaves the line; `placed` when room was found.
+    /// Removes a request from the queue; `placed` is true when it was given capacity.
     pub fn leave(&mut self, ticket: Ticket, placed: bool, now: Instant) {
         if self.queued.remove(&ticket).is_some() && placed {
             self.placement_rate.record(now);
@@ -208,18 +209,17 @@
         }
     }
 
-    /// The first in line has found no room.
+    /// Records that the head of the queue found no capacity.
     pub fn record_no_capacity(&mut self) {
         self.is_blocked = true;
     }
 
-    /// When a caller refused for lack of room should come back: once those who
-    /// wait have been placed, by what is left beside new callers, who go
-    /// before late ones.
+    /// Returns when a caller rejected for lack of capacity should retry: once the queued requests
+    /// have been placed at the rate left beside new requests, which go before late ones.
     ///
-    /// Guards against callers who come back into the same burst, are refused a
-    /// second time and then stay away: by the pace alone they were told 0.3 to
-    /// 2 s in bursts of four.
+    /// Prevents callers from retrying into the same burst, after which they are rejected a second
+    /// time and do not return: from the placement rate alone, the delay would be 0.3 to 2 s in
+    /// bursts of 4 s.
     pub fn retry_after(&self, peers: PeerQueues, now: Instant) -> Duration {
         let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
         let arrival_rate = self.arrival_rate.per_second(now) + peers.arrival_rate;
@@ -232,24 +232,24 @@
         wait.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
     }
 
-    /// Requests waiting.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.queued.len()
     }
 
-    /// True when nobody waits.
+    /// Returns true when no request is queued.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
 
-    /// Waiters that can still be on time.
+    /// Returns the number of queued requests that can still be within their latency target.
     fn within_target(&self, now: Instant) -> usize {
         self.queued.values().filter(|request| now < request.target_deadline).count()
     }
 
-    /// How long a newcomer would wait. One that can be on time stands behind
-    /// those who can be, too; if they are too many it will be late, and stand
-    /// behind all.
+    /// Predicts how long a new request would wait. A request that can be within its target waits
+    /// behind those that can be as well; if these are too many, it will be late and waits behind
+    /// all.
     fn new_request_wait(
         &self,
         target_deadline: Instant,
@@ -268,11 +268,11 @@
         self.placement_time(self.queued.len() + peers.waiting as usize, peers, now)
     }
 
-    /// How long `count` requests take to be placed; no time while room is found.
+    /// Predicts how long placing `count` requests takes; zero while there is capacity.
     ///
-    /// Guards against a burst that is refused before the engines are full: the
-    /// pace so far is that of the callers, not of the engines. 80 callers at
-    /// once had 16 refused after four placements, with room for 25 more free.
+    /// Prevents rejections before the engines are full: until then, the placement rate is that of
+    /// the callers, not of the engines. Without this condition, of 80 simultaneous callers 16 are
+    /// rejected after four placements, while the engines have capacity for 25 more.
     fn placement_time(&self, count: usize, peers: PeerQueues, now: Instant) -> Duration {
         let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
         let is_rate_known =
--- a/crates/gateway/src/cluster/engine_estimates.rs
+++ b/crates/gateway/src/cluster/engine_estimates.rs
@@ -1,4 +1,4 @@
-//! What a gateway has learned of a service's engines from its own streams.
+//! Estimates for a service's engines, from the streams of one gateway or of several pooled.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -7,8 +7,8 @@
 use super::OutputEstimate;
 use super::StageBalance;
 
-/// What streams of one service were like: how long their answers, and what
-/// they took of engines.
+/// Estimates from streams of one service: the length of responses, the load on each stage and the
+/// time to first event.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineEstimates {
     pub outputs: OutputEstimate,
@@ -17,17 +17,17 @@
 }
 
 impl EngineEstimates {
-    /// False for what no gateway can have learned.
+    /// Returns false for values that no gateway can have estimated.
     pub fn is_valid(&self) -> bool {
         self.outputs.is_valid() && self.balance.is_valid() && self.opening.is_valid()
     }
 
-    /// What several gateways have learned together, each by how much it has
-    /// seen lately.
+    /// Returns the pooled estimates of several gateways, weighted by their numbers of recent
+    /// samples.
     ///
-    /// Guards against knowing nothing for minutes: one of 195 gateways serves a
-    /// stream each four seconds, so by its own streams alone it learns how long
-    /// they take after half a minute, and forgets it when it starts anew.
+    /// Prevents a gateway from having no estimates for minutes: one of 195 gateways serves a stream
+    /// every 4 s, so that it would need half a minute to estimate durations from its own streams,
+    /// and would lose the estimate when it restarts.
     pub fn pooled(estimates: impl Iterator<Item = EngineEstimates>) -> EngineEstimates {
         estimates.fold(EngineEstimates::default(), |pool, estimate| EngineEstimates {
             outputs: pool.outputs.pooled_with(&estimate.outputs),
--- a/crates/gateway/src/cluster/first_event_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -1,4 +1,4 @@
-//! How long a stream takes from its room's being found to its first event.
+//! Estimates how long a stream takes from its placement to its first event.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 use super::pooled_count::PooledCount;
 use super::pooled_count::is_valid;
 
-/// Streams needed before their mean is believed.
+/// Minimum number of streams before their mean is used.
 const MIN_STREAMS: u32 = 8;
-/// The weight of one stream in the mean, once there are enough. After a restart
-/// of all gateways callers come back at once and streams take a second to begin;
-/// that must be forgotten in seconds by gateways that serve two streams a second
-/// (with 0.05 it took twelve, in which no stream came on time). What a few
-/// streams of one gateway have in common, the mean over all gateways evens out.
+/// Minimum weight of a new stream in the mean.
+///
+/// When all gateways restart, callers return at once and streams take a second to start. Gateways
+/// that serve two streams a second must forget this within seconds: with 0.05 it takes 12 s, during
+/// which no stream is within its target. Noise of a few streams at one gateway is evened out by
+/// pooling the means of all gateways.
 const MIN_SAMPLE_WEIGHT: f64 = 0.25;
-/// The most of the target that a stream is taken to need.
+/// Maximum fraction of the latency target that a stream is assumed to need for its first event.
 ///
-/// Guards against a line in which nobody counts as able to be on time: it falls
-/// back to the order of arrival, everyone waits behind those already late, and
-/// becomes late in turn.
+/// Prevents a queue in which no request counts as able to be within its target: it would fall back
+/// to first-come-first-served, where new requests wait behind those past their target and become
+/// late in turn.
 const MAX_TARGET_FRACTION: f64 = 0.5;
-/// Mean deviations that are added to the mean: nine streams of ten begin
-/// within that.
+/// Mean deviations added to the mean, so that nine of ten streams start within the sum.
 const DEVIATION_FACTOR: f64 = 1.6;
-/// The time from placement to first event, as a mean and its mean deviation.
+/// Mean and mean absolute deviation of the time from placement to first event.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FirstEventTime {
     mean_s: f64,
@@ -34,11 +34,11 @@
 }
 
 impl FirstEventTime {
-    /// Taken while too little is known: reading a mean prompt takes 90 ms, its
-    /// transfer and first tokens as long again.
+    /// Used until there are enough samples: an average prompt takes 90 ms to prefill, its transfer
+    /// and first tokens as long again.
     pub const DEFAULT: Duration = Duration::from_millis(300);
 
-    /// Takes in a stream whose first event came `took` after its placement.
+    /// Records a stream whose first event came `took` after its placement.
     pub fn record(&mut self, took: Duration) {
         let took = took.as_secs_f64();
         self.streams = self.streams.saturating_add(1);
@@ -50,7 +50,7 @@
         self.mean_s += (took - self.mean_s) * weight;
     }
 
-    /// What this and `other` have learned, by how many streams each stands for.
+    /// Returns the pooled estimates of this and `other`, weighted by their numbers of streams.
     pub fn pooled_with(&self, other: &FirstEventTime) -> FirstEventTime {
         let pool = PooledCount::new(self.streams, other.streams);
         FirstEventTime {
@@ -60,18 +60,18 @@
         }
     }
 
-    /// False for what no gateway can have learned.
+    /// Returns false for values that no gateway can have estimated.
     pub fn is_valid(&self) -> bool {
         [self.mean_s, self.deviation_s].into_iter().all(is_valid)
     }
 
-    /// How long after its caller's first try a stream may find its room and
-    /// still begin within `target`.
+    /// Returns how long after its caller's first request a stream may be placed and still start
+    /// within `target`.
     pub fn max_placement_delay(&self, target: Duration) -> Duration {
         target.saturating_sub(self.p90().min(target.mul_f64(MAX_TARGET_FRACTION)))
     }
 
-    /// Within this nine streams of ten have begun.
+    /// Returns the time within which nine of ten streams have started.
     pub fn p90(&self) -> Duration {
         if self.streams < MIN_STREAMS {
             return Self::DEFAULT;
--- a/crates/gateway/src/cluster/output_estimate.rs
+++ b/crates/gateway/src/cluster/output_estimate.rs
@@ -1,5 +1,5 @@
-//! How long an answer will be, from the caller's estimate and from answers
-//! of the same service so far.
+//! Estimates the length of a response from the caller's estimate and from earlier responses of the
+//! same service.
 
 use std::time::Duration;
 
@@ -9,35 +9,34 @@
 use super::pooled_count::PooledCount;
 use super::pooled_count::is_valid;
 
-/// Answers needed before their length is believed.
+/// Minimum number of responses before their length is used.
 const MIN_RESPONSES: u32 = 6;
-/// The weight of one answer in the average, once there are enough.
+/// Minimum weight of a new response in the mean.
 const MIN_SAMPLE_WEIGHT: f64 = 0.05;
-/// The part of the caller's estimate, the rest being the usual length, both
-/// as logarithms. Estimates are off by about as much as lengths differ (both
-/// 0.45 in the logarithm over 2,471 answers), so each counts half.
+/// Weight of the caller's estimate, the rest being the typical length, both as logarithms. Each
+/// counts half because estimates deviate about as much as lengths do: both by 0.45 in the logarithm
+/// over 2,471 responses.
 const CALLER_ESTIMATE_WEIGHT: f64 = 0.5;
-/// The mean of what is left unknown (0.34 in the logarithm) lies this much
-/// above its median.
+/// Ratio of the mean to the median of the remaining error, which is 0.34 in the logarithm.
 const MEAN_TO_MEDIAN_RATIO: f64 = 1.07;
 
-/// The usual length of a service's answers.
+/// Typical length of a service's responses.
 ///
-/// Guards against engines that run out of memory because several answers
-/// outgrow their estimates at once: a request is then pushed out and its
-/// prompt read again. Both together are off by 1,120 tokens on the mean (3,370
-/// long), the caller's estimate alone by 1,420.
+/// Prevents engines from running out of memory because several responses outgrow their estimates at
+/// once: an engine then evicts a request and prefills its prompt again. The mean error of both
+/// estimates combined is 1,120 tokens, that of the caller's estimate alone 1,420; the mean length
+/// is 3,370 tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct OutputEstimate {
     ln_mean: f64,
-    /// Seconds a token takes, from the first event on.
+    /// Seconds per token, counted from the first event.
     token_s: f64,
     answers: u32,
 }
 
 impl OutputEstimate {
-    /// Takes in the length of a whole answer, in tokens, and how long it took
-    /// from its first event on.
+    /// Records a completed response: its length in tokens and how long it took from its first
+    /// event.
     pub fn record(&mut self, tokens: u32, took: Duration) {
         let ln = f64::from(tokens.max(1)).ln();
         self.answers = self.answers.saturating_add(1);
@@ -47,7 +46,7 @@
         self.token_s += (token_s - self.token_s) * weight;
     }
 
-    /// What this and `other` have learned, by how many answers each stands for.
+    /// Returns the pooled estimates of this and `other`, weighted by their numbers of responses.
     pub fn pooled_with(&self, other: &OutputEstimate) -> OutputEstimate {
         let pool = PooledCount::new(self.answers, other.answers);
         OutputEstimate {
@@ -57,13 +56,13 @@
         }
     }
 
-    /// False for what no gateway can have learned.
+    /// Returns false for values that no gateway can have estimated.
     pub fn is_valid(&self) -> bool {
         [self.ln_mean, self.token_s].into_iter().all(is_valid)
     }
 
-    /// How long an answer of `tokens` takes from its first event on; zero
-    /// while too little is known.
+    /// Returns how long a response of `tokens` takes from its first event; zero while there are too
+    /// few samples.
     pub fn generation_time(&self, tokens: u32) -> Duration {
         if self.answers < MIN_RESPONSES {
             return Duration::ZERO;
@@ -71,7 +70,7 @@
         Duration::from_secs_f64(self.token_s * f64::from(tokens))
     }
 
-    /// The tokens expected of an answer that its caller takes to have
+    /// Returns the expected length in tokens of a response for which the caller estimates
     /// `estimate`.
     pub fn expected_tokens(&self, estimate: Option<u32>) -> Option<u32> {
         if self.answers < MIN_RESPONSES {
--- a/crates/gateway/src/cluster/prefill_rate.rs
+++ b/crates/gateway/src/cluster/prefill_rate.rs
@@ -1,4 +1,4 @@
-//! How fast prompts are read, learned from prompts that were.
+//! Estimates how fast engines prefill prompts, from earlier prompts.
 
 use std::time::Duration;
 
@@ -7,22 +7,21 @@
 
 use super::pooled_count::is_valid;
 
-/// Prompts needed before the pace is believed.
+/// Minimum weight of samples before the rate is used.
 const MIN_PROMPTS: f64 = 8.0;
-/// What a prompt's weight becomes with each further one: some fifty prompts
-/// are remembered, a few seconds of a busy gateway.
+/// Factor by which each new prompt reduces the weight of earlier ones: the estimate covers about 50
+/// prompts, a few seconds of a busy gateway.
 const DECAY_FACTOR: f64 = 0.98;
-/// How strongly all of the time is put down to the tokens while prompts of one
-/// length only have been seen: as a spread of a fifth of their length would.
+/// Weight of the assumption that all of the time is proportional to the tokens, for when all
+/// prompts have the same length: equal to that of a spread of a fifth of their length.
 const PROPORTIONAL_WEIGHT: f64 = 0.05;
 
-/// The time from a prompt's sending to its being read, as a line over the
-/// tokens read by then: those queued before it and its own.
+/// Linear regression of the time from sending a prompt to its prefill's end over the number of
+/// tokens prefilled by then: the prompt's own and those queued before it.
 ///
-/// The slope is what an engine can do; the rest (a round trip, the engine's own
-/// steps) passes while it reads others. By the whole time alone engines looked
-/// three times as busy as they were: 5,200 tokens took 200 ms on an idle engine
-/// that reads 55 in a millisecond.
+/// The slope is the engine's rate. The remainder (a round trip, the engine's own steps) overlaps
+/// with other prompts: counting the whole time would make engines look three times as busy as they
+/// are. An idle engine that prefills 55 tokens per millisecond takes 200 ms for 5,200 tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PrefillRate {
     weight: f64,
@@ -33,8 +32,8 @@
 }
 
 impl PrefillRate {
-    /// Takes in a prompt that was read: `tokens` are its own and those queued
-    /// before it at its sending.
+    /// Records a prefilled prompt; `tokens` are its own and those queued before it when it was
+    /// sent.
     pub fn record(&mut self, tokens: u32, took: Duration) {
         let tokens = f64::from(tokens.max(1));
         let millis = took.as_secs_f64() * 1000.0;
@@ -45,7 +44,7 @@
         self.tokens_millis = self.tokens_millis * DECAY_FACTOR + tokens * millis;
     }
 
-    /// What this and `other` have learned together.
+    /// Returns the pooled estimates of this and `other`.
     pub fn pooled_with(&self, other: &PrefillRate) -> PrefillRate {
         PrefillRate {
             weight: self.weight + other.weight,
@@ -56,15 +55,14 @@
         }
     }
 
-    /// False for what no gateway can have learned.
+    /// Returns false for values that no gateway can have estimated.
     pub fn is_valid(&self) -> bool {
         let values =
             [self.weight, self.tokens, self.millis, self.tokens_squared, self.tokens_millis];
         values.into_iter().all(is_valid)
     }
 
-    /// Milliseconds of an engine's time that a token takes; `None` while too
-    /// little is known.
+    /// Returns the milliseconds of engine time per token; `None` while there are too few samples.
     pub fn millis_per_token(&self) -> Option<f64> {
         if self.weight < MIN_PROMPTS {
             return None;
@@ -75,11 +73,11 @@
         let proportional = PROPORTIONAL_WEIGHT * tokens * tokens;
         let millis_per_mean_token = millis / tokens;
         let slope = (covariance + proportional * millis_per_mean_token) / (variance + proportional);
-        // Neither negative nor more than all of the time, whatever the noise.
+        // Whatever the noise, the slope is neither negative nor more than all of the time.
         Some(slope.clamp(millis_per_mean_token * PROPORTIONAL_WEIGHT, millis_per_mean_token))
     }
 
-    /// How long a prompt with `tokens` up to its end should take.
+    /// Returns how long a prompt should take when `tokens` are to be prefilled up to its end.
     pub fn estimate(&self, tokens: u32) -> Option<Duration> {
         let slope = self.millis_per_token()?;
         let mean = self.millis / self.weight;
--- a/crates/gateway/src/cluster/rate_estimate.rs
+++ b/crates/gateway/src/cluster/rate_estimate.rs
@@ -1,25 +1,24 @@
-//! How many requests a line lets go a second.
+//! Estimates a rate of events, such as how many requests a queue places per second.
 
 use std::time::Duration;
 use std::time::Instant;
 
-/// Departures are averaged over about this long: a burst's own pace counts
-/// after a second, and a clump of a few moves it by a tenth.
+/// Time constant of the average: the rate of a burst shows after a second, and a clump of a few
+/// events changes it by a tenth.
 const AVERAGING_WINDOW: Duration = Duration::from_secs(3);
-/// The least share of the average that has been filled since the first
-/// departure: guards against a huge pace from a clump at the start.
+/// Minimum fraction of the average that counts as filled since the first event: prevents a huge
+/// rate from a clump at the start.
 const MIN_FILLED_FRACTION: f64 = 0.2;
 
-/// A pace averaged over departures, each of which weighs the same.
+/// Exponentially decaying average rate in which all events have the same weight.
 ///
-/// Guards against clumps. Room comes free for several requests at once; with
-/// the mean of the inverse gaps, two a millisecond apart counted as a
-/// thousand a second. Lines of 70 were predicted to last a second and a half
-/// at a site that places 24 a second, and callers waited in vain for three.
+/// Prevents clumps from inflating the rate. Capacity is released for several requests at once; with
+/// the mean of the inverse gaps, two events a millisecond apart count as a thousand per second.
+/// Queues of 70 would be predicted to last 1.5 s at a site that places 24 requests per second, and
+/// callers would wait 3 s in vain.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateEstimate {
-    /// Departures a second as of the last one, not yet corrected for how
-    /// short a time it covers.
+    /// Events per second as of the last one, not corrected for the short time that it covers.
     uncorrected_rate: f64,
     first_at: Option<Instant>,
     last_at: Option<Instant>,
@@ -27,7 +26,7 @@
 }
 
 impl RateEstimate {
-    /// Notes a departure.
+    /// Records an event.
     pub fn record(&mut self, now: Instant) {
         let gap = self.last_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.uncorrected_rate =
@@ -37,12 +36,12 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Departures so far.
+    /// Returns the number of events recorded.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Departures a second, falling once the next is overdue.
+    /// Returns events per second, decaying once the next event is overdue.
     pub fn per_second(&self, now: Instant) -> f64 {
         let (Some(first), Some(last)) = (self.first_at, self.last_at) else { return 0.0 };
         if self.count < 2 {
@@ -52,8 +51,8 @@
         let covered = covered * f64::from(self.count) / f64::from(self.count - 1);
         let filled =
             (1.0 - decay_factor(Duration::from_secs_f64(covered))).max(MIN_FILLED_FRACTION);
-        // Half of the last departure: the average between just before and
-        // just after one.
+        // The last event counts half: this is the average of the rates just before and just after
+        // it.
         let rate = self.uncorrected_rate / filled - 0.5 / AVERAGING_WINDOW.as_secs_f64();
         let idle = now.saturating_duration_since(last).as_secs_f64();
         let overdue = (idle - 1.0 / rate).max(0.0);
--- a/crates/gateway/src/cluster/typical_timeout.rs
+++ b/crates/gateway/src/cluster/typical_timeout.rs
@@ -1,24 +1,24 @@
-//! How long callers of a route usually wait, and so how long one of them has
-//! been trying.
+//! Estimates the timeout that callers of a route start with, and from it how long a caller has been
+//! retrying.
 
 use std::time::Duration;
 
-/// The patience that most requests of one route state.
+/// The timeout stated by most requests of one route.
 ///
-/// A caller states what it has left, so its first request states all of it
-/// and a later one less. First requests are the majority in all but the
-/// worst storms; one vote for or against each makes out their value.
+/// A caller states the time it has left, so its first request states the full timeout and a retry
+/// states less. First requests are the majority in all but the worst retry storms, so a majority
+/// vote (Boyer-Moore) finds their value.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TypicalTimeout {
     value: Duration,
     votes: u32,
 }
 
-/// The most votes kept, so that a change of the callers shows soon.
+/// Maximum number of votes, so that a change of the callers' timeout is adopted soon.
 const MAX_VOTES: u32 = 20;
 
 impl TypicalTimeout {
-    /// Takes in a request's patience; how long its caller has been trying.
+    /// Records a request's stated timeout; returns how long its caller has been retrying.
     pub fn record(&mut self, timeout: Duration) -> Duration {
         if timeout == self.value {
             self.votes = (self.votes + 1).min(MAX_VOTES);
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request and who calls.
+//! Finds the route of a request and the organisation of its caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How long a request with an unknown route or key waits for a configuration that
-/// may know it: a read of the store and a margin.
+/// How long a request with an unknown route or key waits for a newer configuration that may know
+/// it: a read of the store and a margin.
 const NEWER_CONFIG_TIMEOUT: Duration = Duration::from_millis(400);
-/// Such a request looks this often.
+/// Interval at which such a request checks for a newer configuration.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How soon to come back where none could be had.
+/// `Retry-After` of a request for which no newer configuration could be read.
 pub(super) const CONFIG_UNSETTLED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a configuration says of a request.
+/// What the configuration says about a request.
 pub(super) struct FoundRoute {
     pub table: Arc<RouteTable>,
     pub route: Arc<Route>,
@@ -30,7 +30,7 @@
 }
 
 impl FoundRoute {
-    /// What servers are told of who calls.
+    /// Returns what servers are told about the caller.
     pub fn caller_mark(&self) -> CallerMark {
         CallerMark {
             organisation: self.organisation.as_ref().map(|of| of.name.clone()),
@@ -39,11 +39,11 @@
     }
 }
 
-/// The route of a request, and whose key it bears.
+/// Returns the route of a request, and the organisation whose key it bears.
 ///
-/// A caller who is told that its route or key is unknown does not come back.
-/// Unless the configuration in force is surely the newest it is read first, and
-/// the request is refused for now where that can't be done.
+/// A caller that is told that its route or key is unknown does not retry. Unless the configuration
+/// in force is certainly the newest, the newest is read first; where that fails, the request is
+/// rejected with a time to retry.
 pub(super) async fn find_route(
     state: &GatewayState,
     host: &str,
@@ -64,7 +64,7 @@
             return Err(Rejection::ConfigUnsettled);
         }
         state.ask_for_config();
-        // A change that comes meanwhile is seen at the next look.
+        // A change that arrives in between is seen at the next check.
         by_deadline(deadline.min(Instant::now() + POLL_INTERVAL), state.room.listen()).await;
     }
 }
--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -29,19 +29,17 @@
 use crate::stop::CLOSE_TIME;
 use crate::stop::NOTICE_TIME;
 
-/// The pause after a failed accept, which mostly means that descriptors
-/// have run out.
+/// Delay after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// The least read buffer the HTTP library takes.
+/// Minimum read buffer that hyper accepts.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Accepts callers until the process ends.
+/// Accepts callers until the process stops.
 pub async fn serve_front<C: PlatformCodec>(listener: TcpListener, state: Arc<GatewayState>) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                // Answers go out as soon as written; a failure only costs
-                // that time.
+                // Sends responses as soon as they are written; a failure only costs latency.
                 let _ = stream.set_nodelay(true);
                 pool::spawn(serve_connection::<C>(stream, Arc::clone(&state)));
             }
@@ -60,22 +58,22 @@
         service_fn(move |request| handle_request::<C>(Arc::clone(&service_state), request));
     let connection = http1::Builder::new()
         .timer(SmolTimer::new())
-        // Counted from when the connection falls idle, so it must allow for
-        // the longest idle time, which is the larger of the two limits.
+        // Counted from when the connection becomes idle, so it must allow for the longest idle
+        // time, which is the larger of the two limits.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
         .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER_BYTES))
         .serve_connection(FuturesIo::new(stream), service);
     let mut connection = pin!(connection);
     let connection_ended = async {
-        // Its error is the caller's connection breaking; each request on it
-        // has logged its own end.
+        // The error is that the caller's connection broke; each request on it has logged its own
+        // end.
         let _ = connection.as_mut().await;
         true
     };
-    // A connection that comes later than that is not closed while idle: its
-    // first request may be on its way, and the answer to it closes it.
+    // A connection opened after that time is not closed while idle: its first request may be on its
+    // way, and the response to it closes the connection.
     let opened_after_close = state.stop.has_lasted(CLOSE_TIME);
-    // Late ones may stay idle, and a stop does not wait for them.
+    // Connections opened after that time may stay idle, and shutdown does not wait for them.
     let _connection_guard = (!opened_after_close).then(|| state.flights.enter_connection());
     let close_time_passed = async {
         if opened_after_close {
--- a/crates/gateway/src/ingress/mod.rs
+++ b/crates/gateway/src/ingress/mod.rs
@@ -1,4 +1,5 @@
-//! Callers' connections, and the balancer's and operators' questions.
+//! HTTP servers of the gateway: callers' connections, the load balancer's readiness checks and
+//! operators' metrics.
 
 mod find_route;
 mod front_server;
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request whole and finds its route.
+//! Reads a caller's request completely and finds its route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -36,32 +36,31 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How long a request waits for the first configuration and servers: reading
-/// both takes some 20 ms after a start, and callers whose connections broke
-/// with the process before come back at once.
+/// How long a request waits for the first configuration and servers: reading both takes about 20 ms
+/// after a start, and callers whose connections broke when the previous process stopped reconnect
+/// at once.
 const STARTUP_TIMEOUT: Duration = Duration::from_millis(400);
-/// How soon to come back when no configuration is known yet: reading it
-/// takes a few calls of the store.
+/// `Retry-After` while no configuration is known yet: reading it takes a few calls of the store.
 const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(300);
-/// How long a caller may wait when neither it nor the route says.
+/// Timeout of a request when neither the caller nor the route states one.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a body may take to arrive: guards against a connection that
-/// went silent behind its head.
+/// How long a body may take to arrive: prevents a connection that stalls after its header from
+/// being held open.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The caller's connection broke, or its body never came: no answer can
-/// reach it, and the connection is closed.
+/// The caller's connection broke or its body did not arrive: no response can reach it, and the
+/// connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the request did not arrive whole"))]
+#[snafu(display("request was not received completely"))]
 pub struct CallAborted;
 
-/// What reading a request ended with.
+/// Outcome of reading a request.
 pub enum ReadOutcome {
     Call(Arc<Call>),
     Rejected(Response<GatewayBody>),
 }
 
-/// Reads `request` whole; refuses it where no route or limit allows it.
+/// Reads `request` completely; rejects it where no route or limit allows it.
 pub async fn read_call<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     request: Request<Incoming>,
@@ -143,12 +142,12 @@
         .unwrap_or(crate::model::ServiceSpec { max_connections: u32::MAX, engine: None })
 }
 
-/// The host a request names: in its target or its `Host` header.
+/// Returns the host that a request names in its target or its `Host` header.
 fn stated_host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> Option<&'a str> {
     uri.host().or_else(|| headers.get(header::HOST).and_then(|value| value.to_str().ok()))
 }
 
-/// Who calls, as far as the request itself says.
+/// Returns the credentials that the request itself states.
 fn credentials(key: &CallerKey) -> &[u8] {
     match key {
         CallerKey::Sent(digest) => digest.as_bytes(),
@@ -156,7 +155,8 @@
     }
 }
 
-/// Charges a request to its organisation's quota; the refusal where that is spent.
+/// Charges a request to its organisation's quota; returns the time to retry after where the quota
+/// is used up.
 fn charge(
     state: &Arc<GatewayState>,
     organisation: Option<&Organisation>,
@@ -173,7 +173,7 @@
     Ok(Some(QuotaCharge::new(state, organisation_digest(&organisation.name), cost)))
 }
 
-/// Refuses a request that the configuration in force does not allow.
+/// Rejects a request that the configuration in force does not allow.
 fn reject_unrouted(
     state: &GatewayState,
     request_id: &str,
@@ -203,7 +203,7 @@
     reject_request(request_id, rejection, retry_after, version)
 }
 
-/// The whole body; `None` when it is longer than `limit`.
+/// Returns the complete body; `None` when it is longer than `limit`.
 async fn read_body(body: Incoming, limit: usize) -> Result<Option<bytes::Bytes>, CallAborted> {
     let read = async {
         match Limited::new(body, limit).collect().await {
--- a/crates/gateway/src/ingress/ready_server.rs
+++ b/crates/gateway/src/ingress/ready_server.rs
@@ -1,5 +1,4 @@
-//! Tells the balancer whether this instance takes callers, and operators
-//! its metrics.
+//! Serves readiness checks of the load balancer and metrics for operators.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,7 +18,7 @@
 use crate::codec::PlatformCodec;
 use crate::state::GatewayState;
 
-/// Where metrics are read, as text.
+/// Path of the metrics, in text format.
 const METRICS_PATH: &str = "/metrics";
 
 struct ReadyHandler<C> {
@@ -48,7 +47,7 @@
     }
 }
 
-/// Answers until the process ends.
+/// Serves requests until the process stops.
 pub async fn serve_ready<C: PlatformCodec>(
     listener: TcpListener,
     state: Arc<GatewayState>,
--- a/crates/gateway/src/service_queues.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -1,5 +1,5 @@
-//! What callers ask of each service: who waits, how long answers get, how
-//! long callers wait.
+//! Per-service demand of callers: admission queues, estimates of responses and streams, and typical
+//! timeouts.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,21 +16,21 @@
 use crate::cluster::server_digest;
 use crate::model::ServiceName;
 
-/// Callers' demand as this gateway sees it.
+/// Callers' demand as seen by this gateway.
 ///
-/// Lock order: none is ever held together with another.
+/// Lock order: no two of these locks are held at the same time.
 #[derive(Debug, Default)]
 pub struct ServiceQueues {
     queues: Mutex<HashMap<ServiceName, AdmissionQueue>>,
     output_estimates: Mutex<HashMap<ServiceName, OutputEstimate>>,
     stage_balances: Mutex<HashMap<ServiceName, StageBalance>>,
     first_event_times: Mutex<HashMap<ServiceName, FirstEventTime>>,
-    /// By the route's name.
+    /// By route name.
     typical_timeouts: Mutex<HashMap<String, TypicalTimeout>>,
 }
 
 impl ServiceQueues {
-    /// Runs `change` on the waiting line of `service`.
+    /// Runs `change` on the admission queue of `service`.
     pub fn with_queue<T>(
         &self,
         service: &ServiceName,
@@ -40,7 +40,7 @@
         change(queues.entry(service.clone()).or_default())
     }
 
-    /// This gateway's waiting lines, by service.
+    /// Returns the state of this gateway's admission queues, by service digest.
     pub fn local_queues(&self, now: Instant) -> Vec<(u64, QueueUpdate)> {
         let queues = self.queues.lock().expect("queues lock");
         queues
@@ -49,7 +49,7 @@
             .collect()
     }
 
-    /// Runs `change` on what is known of the answers of `service`.
+    /// Runs `change` on the estimated response length of `service`.
     pub fn with_output_estimate<T>(
         &self,
         service: &ServiceName,
@@ -59,7 +59,7 @@
         change(output_estimates.entry(service.clone()).or_default())
     }
 
-    /// Runs `change` on what streams of `service` take of its engines.
+    /// Runs `change` on the estimated load that streams of `service` put on each stage.
     pub fn with_stage_balance<T>(
         &self,
         service: &ServiceName,
@@ -69,7 +69,7 @@
         change(stage_balances.entry(service.clone()).or_default())
     }
 
-    /// Runs `change` on how long streams of `service` take to begin.
+    /// Runs `change` on the estimated time to first event of `service`.
     pub fn with_first_event_time<T>(
         &self,
         service: &ServiceName,
@@ -79,7 +79,7 @@
         change(first_event_times.entry(service.clone()).or_default())
     }
 
-    /// What this gateway's own streams of `service` were like.
+    /// Returns this gateway's local estimates for `service`.
     pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
         EngineEstimates {
             outputs: self.with_output_estimate(service, |outputs| *outputs),
@@ -88,8 +88,8 @@
         }
     }
 
-    /// How long a caller of `route` that will wait for `patience` has been
-    /// trying already.
+    /// Returns how long a caller of `route` with the stated `timeout` has been retrying; zero when
+    /// it states none.
     pub fn retrying_for(&self, route: &str, timeout: Option<Duration>) -> Duration {
         let Some(timeout) = timeout else { return Duration::ZERO };
         let mut typical_timeouts = self.typical_timeouts.lock().expect("typical timeouts lock");
