--- a/crates/gateway/tests/admission_queue.rs
+++ b/crates/gateway/tests/admission_queue.rs
@@ -1,4 +1,5 @@
-//! Who waits for an engine's room in a burst, who is refused at once.
+//! The admission queue in a burst: which requests wait for engine capacity and which are rejected
+//! at once.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,12 +18,12 @@
     Duration::from_millis(millis)
 }
 
-/// A new caller at `now`.
+/// A request of a new caller at `now`.
 fn new_request(now: Instant) -> QueueRequest {
     QueueRequest { occupancy: 1, target_deadline: now + TARGET, retrying_for: Duration::ZERO }
 }
 
-/// Who is first now.
+/// Returns the ticket at the head of the queue.
 fn head(queue: &mut AdmissionQueue, tickets: &[Ticket], now: Instant) -> Option<Ticket> {
     tickets.iter().copied().find(|ticket| queue.head_since(*ticket, now).is_some())
 }
@@ -50,9 +51,8 @@
     }
 }
 
-/// A burst of twice what the engines serve, for five seconds. Served in
-/// order of arrival every answer soon comes late. Here the excess waits or
-/// is refused, and most of what is served is on time.
+/// A burst of twice the engines' capacity for 5 s. First-come-first-served would soon make every
+/// response late; here the excess waits or is rejected, and most responses are within target.
 #[test]
 fn a_burst_of_twice_the_capacity() {
     let start = Instant::now();
@@ -61,7 +61,7 @@
     let (mut within_target, mut past_target, mut rejected) = (0, 0, 0);
     for step in 0..700u64 {
         let now = start + ms(step * 10);
-        // 40 requests a second for five seconds; room for 20 a second.
+        // 40 requests per second for 5 s, with capacity for 20 per second.
         if step < 500 && (step * 4) % 10 < 4 {
             match queue.join(new_request(now), MAX_WAIT, PeerQueues::default(), now) {
                 Ok(ticket) => waiting.push((ticket, now)),
@@ -101,13 +101,12 @@
     );
 }
 
-/// A burst of twice what the engines take, by memory and time. Requests differ
-/// tenfold in what they take. In order of arrival half of them are served in
-/// time, whatever they take; those that take least first, far more callers are,
-/// and each of the others still gets its turn once the burst is over.
+/// A burst of twice the engines' capacity, with requests whose occupancies differ tenfold.
+/// First-come-first-served would serve half of them within target; least occupancy first serves far
+/// more, and every other request is still placed once the burst is over.
 #[test]
 fn requests_of_least_occupancy_go_first_in_a_burst() {
-    /// What the engines give out each 10 ms, and what requests take of it.
+    /// Occupancy that the engines release every 10 ms, and occupancies of requests.
     const CAPACITY: u64 = 100;
     const SIZES: [u64; 5] = [100, 200, 400, 800, 1000];
     const BURST_STEPS: u64 = 500;
@@ -145,9 +144,9 @@
     assert!(within_target >= 130, "{within_target} within target, {past_target} past it");
 }
 
-/// A gateway looks for room only once the others know who is first here: it
-/// must know since when that is so, also when the one before has just left or a
-/// newcomer goes before it.
+/// A gateway tries for capacity only once its peers know the head of its queue. It must therefore
+/// know since when a request has been the head, also when the previous head has just left or a new
+/// request goes before it.
 #[test]
 fn head_since_follows_changes_of_the_head() {
     let start = Instant::now();
@@ -168,8 +167,8 @@
     assert_eq!(queue.head_since(long, last), Some(last), "head again");
 }
 
-/// Nothing has left the line for a while and it is long: who comes now would
-/// wait in vain and is refused at once, with when to come back.
+/// Nothing has left the long queue for a while: a new request would wait in vain, so it is rejected
+/// at once with a time to retry.
 #[test]
 fn a_request_that_would_wait_too_long_is_rejected_at_once() {
     let start = Instant::now();
@@ -180,7 +179,7 @@
         queue.leave(ticket, true, now);
     }
     let now = start + ms(5000);
-    // Two leave a second: six are ahead of the seventh for three seconds.
+    // Two leave per second: the six ahead of the seventh take 3 s.
     for _ in 0..6 {
         queue.join(new_request(now), MAX_WAIT, PeerQueues::default(), now).unwrap();
     }
@@ -209,10 +208,9 @@
     assert!(queue.is_empty());
 }
 
-/// One gateway of many places a request each three seconds, all together 25
-/// a second. One caller waits here and nine elsewhere: the next would wait
-/// less than half a second, though by this gateway's own pace it would be
-/// three. It must not be refused.
+/// One gateway of many places a request every 3 s, all of them together 25 per second. One request
+/// waits here and nine at peers: the next would wait less than half a second, although 3 s by this
+/// gateway's own rate. It must not be rejected.
 #[test]
 fn the_wait_is_predicted_over_all_gateways() {
     struct Case {
@@ -260,16 +258,15 @@
     }
 }
 
-/// Callers who were refused come back with less patience than they began
-/// with. They are late in any case, and must not be taken for new ones, who
-/// would wait behind them and be late too.
+/// Rejected callers retry with a shorter timeout than they started with. They are late in any case
+/// and must not be taken for new callers, who would wait behind them and be late too.
 #[test]
 fn a_retrying_caller_is_recognised_by_its_shorter_timeout() {
     struct TimeoutCase {
         name: &'static str,
-        /// Patience stated, in milliseconds, in order.
+        /// Stated timeouts in order, in milliseconds.
         stated: &'static [u64],
-        /// How long the last of them has been trying.
+        /// How long the caller of the last one has been retrying, in milliseconds.
         retrying_ms: u64,
     }
     let cases = [
@@ -303,14 +300,14 @@
     }
 }
 
-/// Engines end several streams at a time, so room is given out in clumps.
-/// The pace must be that of the departures, however they come: taken too
-/// high, callers are let in who then wait in vain and are refused late.
+/// Engines complete several streams at a time, so capacity is given out in clumps. The rate must
+/// match the departures however they are spaced: with a rate that is too high, callers are admitted
+/// that wait in vain and are rejected late.
 #[test]
 fn the_rate_matches_the_departures() {
     struct RateCase {
         name: &'static str,
-        /// Departures at once, and the gap between two clumps.
+        /// Number of simultaneous departures, and the gap between two clumps.
         clump: u32,
         gap_ms: u64,
         seconds: u64,
@@ -357,9 +354,9 @@
     assert!(later < 1.5, "nothing for ten seconds: {later} a second");
 }
 
-/// A long line of late requests must not turn a newcomer away: it goes
-/// before them. Many others on time must, at once: it would be late, and
-/// then stand behind all.
+/// A long queue of requests past their target must not cause the rejection of a new one, which goes
+/// before them. Many requests within target at peers must, at once: the new request would be late,
+/// and then wait behind all.
 #[test]
 fn new_requests_are_judged_by_those_ahead_of_them() {
     struct Case {
@@ -387,9 +384,9 @@
     }
 }
 
-/// A caller that was refused comes back into a line of late ones. It has
-/// tried longest and has no further try: it goes before those who have only
-/// just become late, and behind those on time.
+/// A rejected caller retries into a queue of late requests. It has been waiting longest and will
+/// not retry again, so it goes before those that have just become late, and behind those within
+/// target.
 #[test]
 fn retrying_callers_go_first_among_those_past_target() {
     let start = Instant::now();
@@ -405,9 +402,8 @@
     assert_eq!(head(&mut queue, &[queued, returning, newcomer], now), Some(newcomer));
 }
 
-/// In a burst new callers take all the room there is. Who is refused must be
-/// told to come back when it is over, not when the line would have passed
-/// if nobody came.
+/// In a burst, new requests take all capacity. Rejected callers must be told to retry after it
+/// ends, not when the queue would be empty if no new requests came.
 #[test]
 fn rejected_callers_retry_after_the_burst() {
     struct Case {
@@ -443,16 +439,15 @@
     }
 }
 
-/// A burst meets idle engines: 60 callers at once, 20 more in the next 80 ms.
-/// Placing takes a moment each, so the line is long when the first few have
-/// been placed; judged by those few, later callers would be told that the wait
-/// outlasts their patience, though the engines are mostly empty. Nobody is
-/// refused before somebody has found no room.
+/// A burst on idle engines: 60 requests at once, 20 more within 80 ms. Placing each takes a moment,
+/// so the queue is long when the first few have been placed. Judged by the rate of those few, later
+/// requests would exceed their max wait although the engines are mostly idle. None may be rejected
+/// before a request has found no capacity.
 #[test]
 fn a_burst_on_idle_engines_is_not_rejected() {
     struct BurstCase {
         name: &'static str,
-        /// Requests for which the engines have room.
+        /// Number of requests for which the engines have capacity.
         capacity: usize,
         is_rejected: bool,
     }
--- a/crates/gateway/tests/engine_estimates.rs
+++ b/crates/gateway/tests/engine_estimates.rs
@@ -1,4 +1,4 @@
-//! What gateways learn of engines together.
+//! Estimates that gateways pool.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -19,8 +19,8 @@
     }
 }
 
-/// What a gateway knows that has served these streams: prompts of 5,000
-/// tokens read at 55 a millisecond, answers of 500 that take three seconds.
+/// Returns the estimates of a gateway that has served these streams: prompts of 5,000 tokens
+/// prefilled at 55 per millisecond, responses of 500 tokens that take 3 s.
 fn estimates_from(streams: Range<u32>, slowdown: f64) -> EngineEstimates {
     let mut estimates = EngineEstimates::default();
     for at in streams {
@@ -34,10 +34,10 @@
     estimates
 }
 
-/// 195 gateways share 50 streams a second. One of them serves eight in half a
-/// minute, fewer than it needs to believe what it has seen: engines are left
-/// as they are through the first bursts, and callers whose answers cannot end
-/// in time take room all the same. Together the gateways know after a second.
+/// 195 gateways share 50 streams per second. One of them serves eight in half a minute, fewer than
+/// the minimum number of samples: on its own, engines keep their stages through the first bursts,
+/// and requests whose responses cannot complete in time still take capacity. Pooled, the estimates
+/// are available after a second.
 #[test]
 fn pooled_estimates_are_known_sooner_than_local_ones() {
     let each = estimates_from(0..2, 1.0);
@@ -54,9 +54,8 @@
     assert!((generation_time - 3.0).abs() < 0.1, "{generation_time}");
 }
 
-/// A gateway whose path to the engines is slow sees all streams take three
-/// times as long. It is one of many and moves the mean by its part, however
-/// many streams it has served.
+/// A gateway with a slow path to the engines sees all streams take three times as long. It is one
+/// of many and moves the mean by its share only, however many streams it has served.
 #[test]
 fn one_outlier_gateway_has_little_weight() {
     let usual = (0..39).map(|_| estimates_from(0..40, 1.0));
@@ -65,15 +64,14 @@
     assert!((3.0..3.3).contains(&generation_time), "{generation_time}");
 }
 
-/// A datagram that is not a gateway's claims what no gateway can have learned.
-/// Taken into the means of all it would make every answer seem endless, or end
-/// the process when a time is made of it.
+/// A datagram that no gateway sent holds values that no gateway can have estimated. Pooled, they
+/// would make every response seem endless, or end the process when converted to a duration.
 #[test]
 fn invalid_estimates_are_ignored() {
     const SERVICE: u64 = 7;
     struct ReportedCase {
         name: &'static str,
-        /// The number that stands where the length of answers is told.
+        /// The value reported as the mean response length.
         reported: f64,
         is_accepted: bool,
     }
--- a/crates/gateway/tests/first_event_time.rs
+++ b/crates/gateway/tests/first_event_time.rs
@@ -1,4 +1,4 @@
-//! How long streams take to begin.
+//! The estimated time to first event.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 struct FirstEventCase {
     name: &'static str,
-    /// Milliseconds that streams took, over and over.
+    /// Milliseconds to the first event of each stream, repeated.
     took: &'static [u64],
-    /// Within this most of them have begun.
+    /// Time within which nine of ten streams have started.
     p90_ms: std::ops::RangeInclusive<u64>,
 }
 
@@ -20,9 +20,8 @@
     first_event_time
 }
 
-/// Requests leave a full line just before an answer begun would be late. With
-/// the usual time to the first event alone, a third of all answers given out
-/// in a burst came too late by less than a tenth of a second.
+/// Requests leave a full queue just before a response would start late. With the mean time to first
+/// event alone, a third of all responses placed in a burst miss their target by less than 0.1 s.
 #[test]
 fn nine_of_ten_streams_begin_within_p90() {
     let cases = [
@@ -44,10 +43,9 @@
     }
 }
 
-/// All gateways restart, and every caller comes back at once: prompts queue and
-/// streams take 1.5 s to begin. A gateway serves two streams a second. Judged by
-/// what it saw then, no newcomer could be on time for twelve seconds, all waited
-/// in the order of arrival, and all were late.
+/// All gateways restart and every caller returns at once: prompts queue, and streams take 1.5 s to
+/// start. A gateway serves two streams per second. If these samples count for too long, no new
+/// request can be within target for 12 s, so that all wait in order of arrival and are late.
 #[test]
 fn the_estimate_recovers_soon_after_a_slow_start() {
     const TARGET: Duration = Duration::from_millis(900);
--- a/crates/gateway/tests/output_estimate.rs
+++ b/crates/gateway/tests/output_estimate.rs
@@ -1,4 +1,4 @@
-//! How long an answer is expected to be.
+//! The expected length and duration of responses.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 
 const DURATION: Duration = Duration::from_secs(3);
 
-/// Answers so far, each this long, and what is then expected.
+/// Earlier responses, each of the same length, and the length that is then expected.
 struct EstimateCase {
     name: &'static str,
     responses: u32,
@@ -15,9 +15,8 @@
     expected: Option<u32>,
 }
 
-/// Callers' estimates are right at the median and often off by half. Taken
-/// alone they fill an engine past its memory, and a stream pauses while its
-/// prompt is read a second time.
+/// Callers' estimates are right at the median and often wrong by half. Used alone, they fill an
+/// engine beyond its memory, and a stream pauses while its prompt is prefilled a second time.
 #[test]
 fn caller_estimates_are_weighted_with_typical_lengths() {
     let case = |name, responses, length, estimate, expected| EstimateCase {
@@ -51,8 +50,8 @@
     }
 }
 
-/// Answers become twice as long when a configuration changes what is asked;
-/// within some dozens of answers the new length is expected.
+/// Responses become twice as long when a configuration changes the requests; the new length is
+/// expected after a few dozen responses.
 #[test]
 fn the_typical_length_follows_the_responses() {
     let mut output_estimate = OutputEstimate::default();
@@ -62,8 +61,8 @@
     assert!((1950..2200).contains(&expected), "{expected}");
 }
 
-/// A caller that came back has seven seconds left and waits for three of
-/// them. Its answer takes five: it must be refused before, not cut then.
+/// A retrying caller has 7 s left and waits for 3 of them, while its response takes 5 s: it must be
+/// rejected in advance instead of cut off at its deadline.
 #[test]
 fn the_generation_time_is_estimated() {
     let mut output_estimate = OutputEstimate::default();
--- a/crates/gateway/tests/queue_order.rs
+++ b/crates/gateway/tests/queue_order.rs
@@ -1,4 +1,4 @@
-//! Which of several gateways' lines goes first.
+//! Which of several gateways' queues goes first.
 
 use std::time::Instant;
 
@@ -24,9 +24,9 @@
     QueueUpdate { on_time: 0, first_age_ms, is_first_late: true, ..on_time(0, waiting) }
 }
 
-/// Gateways look for room at the same moment and take the place of their rank.
-/// With more counted before them than look, places stay free that someone waits
-/// for; with fewer, two meet at one place and one is rejected.
+/// Gateways look for capacity at the same moment and choose the slot of their rank. If more
+/// requests are counted ahead than are looking, slots stay free that a request waits for; if fewer
+/// are, two gateways choose the same slot and one request is rejected.
 #[test]
 fn the_rank_among_all_queues() {
     struct RankCase {
