--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -106,7 +106,7 @@
 /// target. Requests past their target share the remaining capacity in the order of their callers'
 /// first requests, because a caller that has been rejected once does not retry a second time. In a
 /// burst longer than the target, first-come-first-served would make every response late; with this
-/// order, late requests do not delay the others past their targets.
+/// order, requests past their target do not delay the others past theirs.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     queued: BTreeMap<Ticket, QueuedRequest>,
@@ -215,7 +215,8 @@
     }
 
     /// Returns when a caller rejected for lack of capacity should retry: once the queued requests
-    /// have been placed at the rate left beside new requests, which go before late ones.
+    /// have been placed at the rate left beside new requests, which go before those past their
+    /// target.
     ///
     /// Prevents callers from retrying into the same burst, after which they are rejected a second
     /// time and do not return: from the placement rate alone, the delay would be 0.3 to 2 s in
@@ -248,8 +249,8 @@
     }
 
     /// Predicts how long a new request would wait. A request that can be within its target waits
-    /// behind those that can be as well; if these are too many, it will be late and waits behind
-    /// all.
+    /// behind those that can be as well; if these are too many, it will miss its target and waits
+    /// behind all.
     fn new_request_wait(
         &self,
         target_deadline: Instant,
--- a/crates/gateway/src/cluster/output_estimate.rs
+++ b/crates/gateway/src/cluster/output_estimate.rs
@@ -76,10 +76,10 @@
         if self.answers < MIN_RESPONSES {
             return estimate;
         }
-        let usual = self.ln_mean;
-        let ln = estimate.map_or(usual, |estimate| {
+        let typical_ln = self.ln_mean;
+        let ln = estimate.map_or(typical_ln, |estimate| {
             CALLER_ESTIMATE_WEIGHT * f64::from(estimate.max(1)).ln()
-                + (1.0 - CALLER_ESTIMATE_WEIGHT) * usual
+                + (1.0 - CALLER_ESTIMATE_WEIGHT) * typical_ln
         });
         Some((ln.exp() * MEAN_TO_MEDIAN_RATIO) as u32)
     }
--- a/crates/gateway/src/cluster/prefill_rate.rs
+++ b/crates/gateway/src/cluster/prefill_rate.rs
@@ -71,10 +71,10 @@
         let variance = self.tokens_squared / self.weight - tokens * tokens;
         let covariance = self.tokens_millis / self.weight - tokens * millis;
         let proportional = PROPORTIONAL_WEIGHT * tokens * tokens;
-        let millis_per_mean_token = millis / tokens;
-        let slope = (covariance + proportional * millis_per_mean_token) / (variance + proportional);
+        let mean_millis_per_token = millis / tokens;
+        let slope = (covariance + proportional * mean_millis_per_token) / (variance + proportional);
         // Whatever the noise, the slope is neither negative nor more than all of the time.
-        Some(slope.clamp(millis_per_mean_token * PROPORTIONAL_WEIGHT, millis_per_mean_token))
+        Some(slope.clamp(mean_millis_per_token * PROPORTIONAL_WEIGHT, mean_millis_per_token))
     }
 
     /// Returns how long a prompt should take when `tokens` are to be prefilled up to its end.
--- a/crates/gateway/tests/engine_estimates.rs
+++ b/crates/gateway/tests/engine_estimates.rs
@@ -58,8 +58,8 @@
 /// of many and moves the mean by its share only, however many streams it has served.
 #[test]
 fn one_outlier_gateway_has_little_weight() {
-    let usual = (0..39).map(|_| estimates_from(0..40, 1.0));
-    let pool = EngineEstimates::pooled(usual.chain([estimates_from(0..4000, 3.0)]));
+    let typical = (0..39).map(|_| estimates_from(0..40, 1.0));
+    let pool = EngineEstimates::pooled(typical.chain([estimates_from(0..4000, 3.0)]));
     let generation_time = pool.outputs.generation_time(500).as_secs_f64();
     assert!((3.0..3.3).contains(&generation_time), "{generation_time}");
 }
@@ -76,7 +76,7 @@
         is_accepted: bool,
     }
     let cases = [
-        ReportedCase { name: "usual", reported: 6.2, is_accepted: true },
+        ReportedCase { name: "typical", reported: 6.2, is_accepted: true },
         ReportedCase { name: "not a number", reported: f64::NAN, is_accepted: false },
         ReportedCase { name: "infinite", reported: f64::INFINITY, is_accepted: false },
         ReportedCase { name: "negative", reported: -1.0, is_accepted: false },
--- a/crates/gateway/tests/queue_order.rs
+++ b/crates/gateway/tests/queue_order.rs
@@ -8,7 +8,7 @@
 
 const SERVICE: u64 = 7;
 
-fn on_time(first_occupancy: u64, waiting: u32) -> QueueUpdate {
+fn within_target(first_occupancy: u64, waiting: u32) -> QueueUpdate {
     QueueUpdate {
         waiting,
         on_time: waiting,
@@ -20,8 +20,8 @@
     }
 }
 
-fn late(first_age_ms: u32, waiting: u32) -> QueueUpdate {
-    QueueUpdate { on_time: 0, first_age_ms, is_first_late: true, ..on_time(0, waiting) }
+fn past_target(first_age_ms: u32, waiting: u32) -> QueueUpdate {
+    QueueUpdate { on_time: 0, first_age_ms, is_first_late: true, ..within_target(0, waiting) }
 }
 
 /// Gateways look for capacity at the same moment and choose the slot of their rank. If more
@@ -49,47 +49,47 @@
         QueueUpdate { is_first_late: true, on_time: 0, first_age_ms: 2000, ..MIN };
     const NOBODY: QueueUpdate = QueueUpdate { waiting: 0, on_time: 0, ..MIN };
     let cases = [
-        RankCase { name: "alone", peers: &[], local: on_time(50, 3), ahead: 0 },
+        RankCase { name: "alone", peers: &[], local: within_target(50, 3), ahead: 0 },
         RankCase {
             name: "empty queue at the peer",
             peers: &[NOBODY],
-            local: on_time(50, 3),
+            local: within_target(50, 3),
             ahead: 0,
         },
         RankCase {
             name: "one request per queue of lower occupancy",
             peers: &[MIN, MAX],
-            local: on_time(50, 3),
+            local: within_target(50, 3),
             ahead: 1,
         },
         RankCase {
             name: "several queues of lower occupancy",
             peers: &[MIN, MIN, MAX],
-            local: on_time(50, 3),
+            local: within_target(50, 3),
             ahead: 2,
         },
         RankCase {
             name: "requests past target go after",
             peers: &[LATE],
-            local: on_time(50, 3),
+            local: within_target(50, 3),
             ahead: 0,
         },
         RankCase {
             name: "past target, behind those within",
             peers: &[MIN, MAX],
-            local: late(3000, 1),
+            local: past_target(3000, 1),
             ahead: 2,
         },
         RankCase {
             name: "past target by age, whole queues ahead",
             peers: &[LATE, LATE],
-            local: late(1000, 1),
+            local: past_target(1000, 1),
             ahead: 10,
         },
         RankCase {
             name: "the longest past target",
             peers: &[LATE],
-            local: late(4000, 1),
+            local: past_target(4000, 1),
             ahead: 0,
         },
     ];
