--- a/crates/gateway/src/cluster/prefill_rate.rs
+++ b/crates/gateway/src/cluster/prefill_rate.rs
@@ -1,28 +1,27 @@
-//! How fast prompts are read, learned from prompts that were.
+//! Estimates how fast engines prefill prompts, from earlier prompts.
 
 use std::time::Duration;
 
 use serde::Deserialize;
 use serde::Serialize;
 
-use super::pooled_count::is_reliable;
+use super::pooled_count::is_valid;
 
-/// Prompts needed before the pace is believed.
+/// Minimum weight of samples before the rate is used.
 const MIN_PROMPTS: f64 = 8.0;
-/// What a prompt's weight becomes with each further one: some fifty prompts
-/// are remembered, a few seconds of a busy gateway.
-const FORGETTING: f64 = 0.98;
-/// How strongly all of the time is put down to the tokens while prompts of one
-/// length only have been seen: as a spread of a fifth of their length would.
-const SAME_LENGTH_WEIGHT: f64 = 0.05;
+/// Factor by which each new prompt reduces the weight of earlier ones: the estimate covers about 50
+/// prompts, a few seconds of a busy gateway.
+const DECAY_FACTOR: f64 = 0.98;
+/// Weight of the assumption that all of the time is proportional to the tokens, for when all
+/// prompts have the same length: equal to that of a spread of a fifth of their length.
+const PROPORTIONAL_WEIGHT: f64 = 0.05;
 
-/// The time from a prompt's sending to its being read, as a line over the
-/// tokens read by then: those queued before it and its own.
+/// Linear regression of the time from sending a prompt to its prefill's end over the number of
+/// tokens prefilled by then: the prompt's own and those queued before it.
 ///
-/// The slope is what an engine can do; the rest (a round trip, the engine's own
-/// steps) passes while it reads others. By the whole time alone engines looked
-/// three times as busy as they were: 5,200 tokens took 200 ms on an idle engine
-/// that reads 55 in a millisecond.
+/// The slope is the engine's rate. The remainder (a round trip, the engine's own steps) overlaps
+/// with other prompts: counting the whole time would make engines look three times as busy as they
+/// are. An idle engine that prefills 55 tokens per millisecond takes 200 ms for 5,200 tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PrefillRate {
     weight: f64,
@@ -33,20 +32,20 @@
 }
 
 impl PrefillRate {
-    /// Takes in a prompt that was read: `tokens` are its own and those queued
-    /// before it at its sending.
-    pub fn note(&mut self, tokens: u32, took: Duration) {
+    /// Records a prefilled prompt; `tokens` are its own and those queued before it when it was
+    /// sent.
+    pub fn record(&mut self, tokens: u32, took: Duration) {
         let tokens = f64::from(tokens.max(1));
         let millis = took.as_secs_f64() * 1000.0;
-        self.weight = self.weight * FORGETTING + 1.0;
-        self.tokens = self.tokens * FORGETTING + tokens;
-        self.millis = self.millis * FORGETTING + millis;
-        self.tokens_squared = self.tokens_squared * FORGETTING + tokens * tokens;
-        self.tokens_millis = self.tokens_millis * FORGETTING + tokens * millis;
+        self.weight = self.weight * DECAY_FACTOR + 1.0;
+        self.tokens = self.tokens * DECAY_FACTOR + tokens;
+        self.millis = self.millis * DECAY_FACTOR + millis;
+        self.tokens_squared = self.tokens_squared * DECAY_FACTOR + tokens * tokens;
+        self.tokens_millis = self.tokens_millis * DECAY_FACTOR + tokens * millis;
     }
 
-    /// What this and `other` have learned together.
-    pub fn with(&self, other: &PrefillRate) -> PrefillRate {
+    /// Returns the pooled estimates of this and `other`.
+    pub fn pooled_with(&self, other: &PrefillRate) -> PrefillRate {
         PrefillRate {
             weight: self.weight + other.weight,
             tokens: self.tokens + other.tokens,
@@ -56,33 +55,33 @@
         }
     }
 
-    /// False for what no gateway can have learned.
-    pub fn is_reliable(&self) -> bool {
-        let sums = [self.weight, self.tokens, self.millis, self.tokens_squared, self.tokens_millis];
-        sums.into_iter().all(is_reliable)
+    /// Returns false for values that no gateway can have estimated.
+    pub fn is_valid(&self) -> bool {
+        let values =
+            [self.weight, self.tokens, self.millis, self.tokens_squared, self.tokens_millis];
+        values.into_iter().all(is_valid)
     }
 
-    /// Milliseconds of an engine's time that a token takes; `None` while too
-    /// little is known.
+    /// Returns the milliseconds of engine time per token; `None` while there are too few samples.
     pub fn millis_per_token(&self) -> Option<f64> {
         if self.weight < MIN_PROMPTS {
             return None;
         }
         let (tokens, millis) = (self.tokens / self.weight, self.millis / self.weight);
-        let spread = self.tokens_squared / self.weight - tokens * tokens;
-        let shared = self.tokens_millis / self.weight - tokens * millis;
-        let same_length = SAME_LENGTH_WEIGHT * tokens * tokens;
-        let whole = millis / tokens;
-        let slope = (shared + same_length * whole) / (spread + same_length);
-        // Neither negative nor more than all of the time, whatever the noise.
-        Some(slope.clamp(whole * SAME_LENGTH_WEIGHT, whole))
+        let variance = self.tokens_squared / self.weight - tokens * tokens;
+        let covariance = self.tokens_millis / self.weight - tokens * millis;
+        let proportional = PROPORTIONAL_WEIGHT * tokens * tokens;
+        let mean_millis_per_token = millis / tokens;
+        let slope = (covariance + proportional * mean_millis_per_token) / (variance + proportional);
+        // Whatever the noise, the slope is neither negative nor more than all of the time.
+        Some(slope.clamp(mean_millis_per_token * PROPORTIONAL_WEIGHT, mean_millis_per_token))
     }
 
-    /// How long a prompt with `tokens` up to its end should take.
+    /// Returns how long a prompt should take when `tokens` are to be prefilled up to its end.
     pub fn estimate(&self, tokens: u32) -> Option<Duration> {
         let slope = self.millis_per_token()?;
         let mean = self.millis / self.weight;
-        let beyond = f64::from(tokens) - self.tokens / self.weight;
-        Some(Duration::from_secs_f64((mean + beyond * slope).max(0.0) / 1000.0))
+        let tokens_above_mean = f64::from(tokens) - self.tokens / self.weight;
+        Some(Duration::from_secs_f64((mean + tokens_above_mean * slope).max(0.0) / 1000.0))
     }
 }
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -99,7 +99,7 @@
     let took = started_at.elapsed();
     state
         .service_queues
-        .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
+        .with_stage_balance(&call.service, |balance| balance.reading.record(tokens_ahead, took));
     state.note_outcome(&target, ServerOutcome::Fine);
     tracing::info!(
         event = events::PREFILL_DONE,
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -1,4 +1,4 @@
-//! Finds the route of a request and who calls.
+//! Finds the route of a request and the organisation of its caller.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How long a request with an unknown route or key waits for a configuration that
-/// may know it: a read of the store and a margin.
-const NEWER_WAIT: Duration = Duration::from_millis(400);
-/// Such a request looks this often.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
-/// How soon to come back where none could be had.
-pub(super) const NEWER_RETRY: Duration = Duration::from_millis(500);
+/// How long a request with an unknown route or key waits for a newer configuration that may know
+/// it: a read of the store and a margin.
+const NEWER_CONFIG_TIMEOUT: Duration = Duration::from_millis(400);
+/// Interval at which such a request checks for a newer configuration.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// `Retry-After` of a request for which no newer configuration could be read.
+pub(super) const CONFIG_UNSETTLED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What a configuration says of a request.
+/// What the configuration says about a request.
 pub(super) struct FoundRoute {
     pub table: Arc<RouteTable>,
     pub route: Arc<Route>,
@@ -30,8 +30,8 @@
 }
 
 impl FoundRoute {
-    /// What servers are told of who calls.
-    pub fn mark(&self) -> CallerIdentity {
+    /// Returns what servers are told about the caller.
+    pub fn caller_mark(&self) -> CallerIdentity {
         CallerIdentity {
             organisation: self.organisation.as_ref().map(|of| of.name.clone()),
             strips_key: !self.table.organisations.is_empty(),
@@ -39,37 +39,37 @@
     }
 }
 
-/// The route of a request, and whose key it bears.
+/// Returns the route of a request, and the organisation whose key it bears.
 ///
-/// A caller who is told that its route or key is unknown does not come back.
-/// Unless the configuration in force is surely the newest it is read first, and
-/// the request is refused for now where that can't be done.
+/// A caller that is told that its route or key is unknown does not retry. Unless the configuration
+/// in force is certainly the newest, the newest is read first; where that fails, the request is
+/// rejected with a time to retry.
 pub(super) async fn find_route(
     state: &GatewayState,
     host: &str,
     path: &str,
     key: &CallerKey,
 ) -> Result<FoundRoute, Rejection> {
-    let until = Instant::now() + NEWER_WAIT;
+    let deadline = Instant::now() + NEWER_CONFIG_TIMEOUT;
     loop {
         let table = state.table().ok_or(Rejection::NoConfiguration)?;
-        let refusal = match look_up(table, host, path, key) {
+        let rejection = match match_route(table, host, path, key) {
             Ok(found) => return Ok(found),
-            Err(refusal) => refusal,
+            Err(rejection) => rejection,
         };
         if state.has_newest_config() {
-            return Err(refusal);
+            return Err(rejection);
         }
-        if Instant::now() >= until {
+        if Instant::now() >= deadline {
             return Err(Rejection::ConfigUnsettled);
         }
         state.ask_for_config();
-        // A change that comes meanwhile is seen at the next look.
-        by_deadline(until.min(Instant::now() + LOOK_AGAIN), state.room.listen()).await;
+        // A change that arrives in between is seen at the next check.
+        by_deadline(deadline.min(Instant::now() + POLL_INTERVAL), state.room.listen()).await;
     }
 }
 
-fn look_up(
+fn match_route(
     table: Arc<RouteTable>,
     host: &str,
     path: &str,
