--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -132,7 +132,7 @@
     outcome.result = if is_promise { CallResult::Refused } else { CallResult::Failed };
     outcome.refused_without_retry_after = is_promise && wait.is_none();
     let client = HttpClient::new("-", Duration::from_secs(2));
-    if let Err(error) = client.read_whole("refusal", response).await {
+    if let Err(error) = client.read_full_body("refusal", response).await {
         outcome.refusal = refusal_kind(&error).unwrap_or_default();
     }
 }
@@ -183,7 +183,7 @@
 ) {
     if class.kind != RequestKind::Completion {
         let client = HttpClient::new("-", class.deadline());
-        if client.read_whole("answer", response).await.is_ok() {
+        if client.read_full_body("answer", response).await.is_ok() {
             outcome.result = CallResult::Whole;
             outcome.ttft = Some(started.elapsed());
         }
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -61,7 +61,7 @@
         config.register_with = Some(self.platform.to_string());
         let standin = EngineStandin::new(config);
         let addr = serve(any_port(), Arc::new(standin.clone())).await?;
-        standin.listens_on(addr);
+        standin.set_listen_addr(addr);
         standin.register(InstanceState::Live).await;
         self.engines.push(LocalEngine { standin, addr });
         self.servers += 1;
--- a/crates/gateway/src/ingress/ready_server.rs
+++ b/crates/gateway/src/ingress/ready_server.rs
@@ -36,14 +36,14 @@
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            return reply::whole(status, "text/plain", Bytes::new());
+            return reply::full(status, "text/plain", Bytes::new());
         }
         match &self.state.metrics {
             Some(metrics) if path == METRICS_PATH => {
                 let text = metrics.render();
-                reply::whole(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
+                reply::full(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
             }
-            _ => reply::whole(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
+            _ => reply::full(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
         }
     }
 }
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -8,8 +8,8 @@
 use http::Method;
 use http::StatusCode;
 use snafu::ResultExt;
-use umberglade_wire::kept::KeptClient;
-use umberglade_wire::kept::KeptReply;
+use umberglade_wire::keep_alive::BufferedResponse;
+use umberglade_wire::keep_alive::KeepAliveClient;
 
 use super::FollowError;
 use super::follow_error::DecodeSnafu;
@@ -30,14 +30,14 @@
 /// Speaks to the store, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient<C> {
-    kept: KeptClient,
+    kept: KeepAliveClient,
     codec: PhantomData<C>,
 }
 
 impl<C: PlatformCodec> StoreClient<C> {
     /// A client of the store at `address`, not connected yet.
     pub fn new(address: SocketAddr) -> Self {
-        StoreClient { kept: KeptClient::new(address.to_string()), codec: PhantomData }
+        StoreClient { kept: KeepAliveClient::new(address.to_string()), codec: PhantomData }
     }
 
     /// All rows of `table`, and the version they are as of: that of the
@@ -154,7 +154,7 @@
     }
 }
 
-fn check_status(reply: &KeptReply) -> Result<(), FollowError> {
+fn check_status(reply: &BufferedResponse) -> Result<(), FollowError> {
     if reply.status.is_success() {
         return Ok(());
     }
--- a/crates/router/src/control/snapshot.rs
+++ b/crates/router/src/control/snapshot.rs
@@ -15,13 +15,13 @@
 use umberglade_wire::platform::ACTIVE_KEY;
 use umberglade_wire::platform::ActivePreset;
 use umberglade_wire::platform::DRAINS_KEY;
-use umberglade_wire::platform::DrainBook;
+use umberglade_wire::platform::DrainRegistry;
 use umberglade_wire::platform::InstanceList;
 use umberglade_wire::platform::InstanceState;
 use umberglade_wire::platform::ORGANISATIONS_KEY;
-use umberglade_wire::platform::OrganisationBook;
+use umberglade_wire::platform::OrganisationRegistry;
 use umberglade_wire::platform::ROLE_ORDERS_KEY;
-use umberglade_wire::platform::RoleOrderBook;
+use umberglade_wire::platform::RoleOrderRegistry;
 use umberglade_wire::platform::Row;
 
 use super::ServerPool;
@@ -49,7 +49,7 @@
     pub drains_version: RowVersion,
     pub drained: Arc<BTreeSet<ServerId>>,
     pub role_orders_version: RowVersion,
-    pub role_orders: Arc<RoleOrderBook>,
+    pub role_orders: Arc<RoleOrderRegistry>,
     /// Backend servers from the instance list, drained ones included.
     pub servers: Arc<Vec<Arc<ServerSlot>>>,
     /// Those of them that take new work.
@@ -123,7 +123,7 @@
         if row.version <= self.organisations_version {
             return;
         }
-        let Some(book) = parse_row::<OrganisationBook>(row) else {
+        let Some(book) = parse_row::<OrganisationRegistry>(row) else {
             return;
         };
         let mut api_keys = HashMap::new();
@@ -140,7 +140,7 @@
         if row.version <= self.drains_version {
             return;
         }
-        let Some(book) = parse_row::<DrainBook>(row) else {
+        let Some(book) = parse_row::<DrainRegistry>(row) else {
             return;
         };
         let drained: BTreeSet<ServerId> = book.servers.into_keys().collect();
@@ -154,7 +154,7 @@
         if row.version <= self.role_orders_version {
             return;
         }
-        let Some(book) = parse_row::<RoleOrderBook>(row) else {
+        let Some(book) = parse_row::<RoleOrderRegistry>(row) else {
             return;
         };
         self.role_orders = Arc::new(book);
--- a/crates/router/src/duty/lease.rs
+++ b/crates/router/src/duty/lease.rs
@@ -7,9 +7,9 @@
 use umberglade_wire::ids::DaemonId;
 use umberglade_wire::ids::Fence;
 use umberglade_wire::ids::RowVersion;
-use umberglade_wire::platform::DUTY_KEY;
-use umberglade_wire::platform::DUTY_TABLE;
-use umberglade_wire::platform::DutyRecord;
+use umberglade_wire::platform::LEADER_KEY;
+use umberglade_wire::platform::LEADER_TABLE;
+use umberglade_wire::platform::LeaderRecord;
 
 use crate::events;
 use crate::platform::PlatformClient;
@@ -64,13 +64,13 @@
     /// Renews the duty if ours, takes it if lapsed, else leaves it.
     pub async fn contend(&mut self) -> Result<(), WireError> {
         let begun = Instant::now();
-        let list = self.platform.list(DUTY_TABLE).await?;
-        let row = list.rows.into_iter().find(|row| row.key == DUTY_KEY);
+        let list = self.platform.list(LEADER_TABLE).await?;
+        let row = list.rows.into_iter().find(|row| row.key == LEADER_KEY);
         let Some(row) = row else {
             return self.write(0, begun).await;
         };
         let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
-        let is_ours = serde_json::from_value::<DutyRecord>(row.value)
+        let is_ours = serde_json::from_value::<LeaderRecord>(row.value)
             .is_ok_and(|record| record == self.record());
         if is_ours || age >= self.lease {
             return self.write(row.version, begun).await;
@@ -81,7 +81,7 @@
 
     async fn write(&mut self, expect: RowVersion, begun: Instant) -> Result<(), WireError> {
         let outcome =
-            self.platform.put_checked(DUTY_TABLE, DUTY_KEY, expect, &self.record()).await?;
+            self.platform.put_checked(LEADER_TABLE, LEADER_KEY, expect, &self.record()).await?;
         match outcome {
             WriteOutcome::Written(row) => {
                 if self.held.is_none() {
@@ -105,7 +105,7 @@
         }
     }
 
-    fn record(&self) -> DutyRecord {
-        DutyRecord { holder: self.daemon.clone(), incarnation: self.incarnation }
+    fn record(&self) -> LeaderRecord {
+        LeaderRecord { holder: self.daemon.clone(), incarnation: self.incarnation }
     }
 }
--- a/crates/router/src/front/mod.rs
+++ b/crates/router/src/front/mod.rs
@@ -55,20 +55,20 @@
     fn health(&self) -> Response<ReplyBody> {
         if self.is_draining() {
             let body = Bytes::from_static(b"draining\n");
-            return reply::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
+            return reply::full(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
         }
         if self.is_fenced_off() {
             let body = Bytes::from_static(b"behind the preset in force\n");
-            return reply::whole(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
+            return reply::full(StatusCode::SERVICE_UNAVAILABLE, "text/plain", body);
         }
-        reply::whole(StatusCode::OK, "text/plain", Bytes::from_static(b"ok\n"))
+        reply::full(StatusCode::OK, "text/plain", Bytes::from_static(b"ok\n"))
     }
 
     fn metrics(&self) -> Response<ReplyBody> {
         metrics::gauge!("umberglade_in_flight").set(f64::from(self.in_flight()));
         metrics::gauge!("umberglade_waiting").set(self.waiting() as f64);
         let text = self.shared.metrics.as_ref().map(PrometheusHandle::render).unwrap_or_default();
-        reply::whole(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
+        reply::full(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
     }
 
     /// Returns the organisation whose API key the request carries, or a 401 response.
--- a/crates/router/src/front/rejection.rs
+++ b/crates/router/src/front/rejection.rs
@@ -27,7 +27,7 @@
         "request rejected"
     );
     metrics::counter!("umberglade_refusals_total", "kind" => kind.to_owned()).increment(1);
-    reply::refusal(status, kind, message, retry_after_s)
+    reply::rejection(status, kind, message, retry_after_s)
 }
 
 /// Returns a 503 with the default `Retry-After`.
@@ -42,5 +42,5 @@
 
 /// Returns a 404 for an unknown route.
 pub(crate) fn not_found() -> Response<ReplyBody> {
-    reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such route", None)
+    reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such route", None)
 }
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -17,17 +17,17 @@
 use umberglade_wire::platform::ActivePreset;
 use umberglade_wire::platform::CONTROL_TABLE;
 use umberglade_wire::platform::DRAINS_KEY;
-use umberglade_wire::platform::DrainBook;
 use umberglade_wire::platform::DrainOrder;
+use umberglade_wire::platform::DrainRegistry;
 use umberglade_wire::platform::MEMBERS_TABLE;
 use umberglade_wire::platform::MemberRecord;
 use umberglade_wire::platform::ORGANISATIONS_KEY;
-use umberglade_wire::platform::OrganisationBook;
 use umberglade_wire::platform::OrganisationEntry;
+use umberglade_wire::platform::OrganisationRegistry;
 use umberglade_wire::platform::PRESETS_TABLE;
 use umberglade_wire::platform::ROLE_ORDERS_KEY;
 use umberglade_wire::platform::RoleOrder;
-use umberglade_wire::platform::RoleOrderBook;
+use umberglade_wire::platform::RoleOrderRegistry;
 use umberglade_wire::platform::Row;
 
 use crate::platform::PlatformClient;
@@ -148,7 +148,7 @@
         api_keys: Vec<String>,
     ) -> Result<Row, OperatorError> {
         let entry = OrganisationEntry { api_keys };
-        self.update_book::<OrganisationBook>(ORGANISATIONS_KEY, |book| {
+        self.update_book::<OrganisationRegistry>(ORGANISATIONS_KEY, |book| {
             book.organisations.insert(name.to_owned(), entry.clone());
         })
         .await
@@ -157,7 +157,7 @@
     /// Drains backend server `server`: daemons send it no new work.
     pub async fn drain(&self, server: &str) -> Result<Row, OperatorError> {
         let order = DrainOrder { server: server.to_owned(), by: self.actor.clone() };
-        self.update_book::<DrainBook>(DRAINS_KEY, |book| {
+        self.update_book::<DrainRegistry>(DRAINS_KEY, |book| {
             book.servers.insert(server.to_owned(), order.clone());
         })
         .await
@@ -165,7 +165,7 @@
 
     /// Returns a drained server to service.
     pub async fn undrain(&self, server: &str) -> Result<Row, OperatorError> {
-        self.update_book::<DrainBook>(DRAINS_KEY, |book| {
+        self.update_book::<DrainRegistry>(DRAINS_KEY, |book| {
             book.servers.remove(server);
         })
         .await
@@ -174,7 +174,7 @@
     /// Asks for `server` to serve `role`; the holder of the duty orders it.
     pub async fn want_role(&self, server: &str, role: EngineRole) -> Result<Row, OperatorError> {
         let order = RoleOrder { role, by: self.actor.clone() };
-        self.update_book::<RoleOrderBook>(ROLE_ORDERS_KEY, |book| {
+        self.update_book::<RoleOrderRegistry>(ROLE_ORDERS_KEY, |book| {
             book.servers.insert(server.to_owned(), order.clone());
         })
         .await
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -187,8 +187,8 @@
     if response.status().is_success() {
         return Ok(response);
     }
-    match client.read_whole(STEP, response).await {
+    match client.read_full_body(STEP, response).await {
         Err(error) => Err(error),
-        Ok(_) => unreachable!("read_whole fails for every status outside 2xx"),
+        Ok(_) => unreachable!("read_full_body fails for every status outside 2xx"),
     }
 }
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -175,7 +175,7 @@
             match send_lookup(&slot, &path).await {
                 Ok(body) => {
                     slot.succeeded();
-                    return reply::whole(StatusCode::OK, "application/json", body);
+                    return reply::full(StatusCode::OK, "application/json", body);
                 }
                 Err(error) => {
                     tracing::warn!(event = events::STEP_FAILED, server = %slot.entry.server, %error, "lookup failed");
@@ -218,7 +218,7 @@
 async fn send_lookup(slot: &ServerSlot, path: &str) -> Result<Bytes, WireError> {
     let client = HttpClient::new(slot.entry.addr.clone(), LOOKUP_TIMEOUT);
     let response = client.send("lookup", Method::GET, path, None).await?;
-    client.read_whole("lookup", response).await
+    client.read_full_body("lookup", response).await
 }
 
 fn no_server_response(service: &str) -> Response<ReplyBody> {
@@ -228,7 +228,7 @@
 
 fn json_response(status: u16, body: String) -> Response<ReplyBody> {
     let status = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    reply::whole(status, "application/json", Bytes::from(body))
+    reply::full(status, "application/json", Bytes::from(body))
 }
 
 fn replay(record_key: &str, status: u16, body: String) -> Response<ReplyBody> {
--- a/crates/router/src/pipeline/prefill.rs
+++ b/crates/router/src/pipeline/prefill.rs
@@ -139,6 +139,6 @@
     let body = Bytes::from(serde_json::to_vec(order).expect("serialising an order"));
     let response = client.send(STEP, Method::POST, "/v1/prefill", Some(body)).await?;
     record_load(slot, &response);
-    let bytes = client.read_whole(STEP, response).await?;
+    let bytes = client.read_full_body(STEP, response).await?;
     serde_json::from_slice(&bytes).context(DecodeSnafu { step: STEP, peer: client.peer.as_str() })
 }
--- a/crates/router/src/pipeline/response_feed.rs
+++ b/crates/router/src/pipeline/response_feed.rs
@@ -94,7 +94,7 @@
             _ => {
                 // Not a token: left for `next` to handle.
                 self.assembler = saved;
-                self.stream.reader.put_back(line);
+                self.stream.reader.unread_line(line);
                 None
             }
         }
--- a/crates/router/src/platform/client.rs
+++ b/crates/router/src/platform/client.rs
@@ -147,21 +147,21 @@
     ) -> Result<(), WireError> {
         let path = format!("{}?version={version}", row_path(table, key));
         let response = self.http.send("remove row", Method::DELETE, &path, None).await?;
-        self.http.read_whole("remove row", response).await.map(|_| ())
+        self.http.read_full_body("remove row", response).await.map(|_| ())
     }
 
     /// Stores `body` as object `name`, replacing what was there.
     pub async fn put_object(&self, name: &str, body: Bytes) -> Result<(), WireError> {
         let path = object_path(name);
         let response = self.http.send("write object", Method::PUT, &path, Some(body)).await?;
-        self.http.read_whole("write object", response).await.map(|_| ())
+        self.http.read_full_body("write object", response).await.map(|_| ())
     }
 
     /// Object `name`, or `None` when there is none.
     pub async fn get_object(&self, name: &str) -> Result<Option<Bytes>, WireError> {
         let path = object_path(name);
         let response = self.http.send("read object", Method::GET, &path, None).await?;
-        match self.http.read_whole("read object", response).await {
+        match self.http.read_full_body("read object", response).await {
             Ok(body) => Ok(Some(body)),
             Err(error) if error.status() == Some(404) => Ok(None),
             Err(error) => Err(error),
--- a/crates/router/src/platform/feed.rs
+++ b/crates/router/src/platform/feed.rs
@@ -8,8 +8,8 @@
 use snafu::ResultExt;
 use umberglade_wire::WireError;
 use umberglade_wire::error::DecodeSnafu;
-use umberglade_wire::kept::KeptClient;
-use umberglade_wire::kept::KeptReply;
+use umberglade_wire::keep_alive::BufferedResponse;
+use umberglade_wire::keep_alive::KeepAliveClient;
 use umberglade_wire::platform::FeedPage;
 use umberglade_wire::platform::InstanceList;
 
@@ -20,7 +20,7 @@
 /// The changed rows of one table.
 #[derive(Debug)]
 pub struct TableFeed {
-    client: KeptClient,
+    client: KeepAliveClient,
     table: &'static str,
     /// The generation read last; 0 asks for every row.
     generation: u64,
@@ -29,7 +29,7 @@
 impl TableFeed {
     /// A feed of `table` at the platform at `addr`, from its beginning.
     pub fn new(addr: impl Into<String>, table: &'static str) -> Self {
-        TableFeed { client: KeptClient::new(addr), table, generation: 0 }
+        TableFeed { client: KeepAliveClient::new(addr), table, generation: 0 }
     }
 
     /// The next changed rows; none after `wait` without a change.
@@ -59,14 +59,14 @@
 /// The changes of the instance list.
 #[derive(Debug)]
 pub struct InstanceFeed {
-    client: KeptClient,
+    client: KeepAliveClient,
     generation: u64,
 }
 
 impl InstanceFeed {
     /// A feed of the instance list at the platform at `addr`.
     pub fn new(addr: impl Into<String>) -> Self {
-        InstanceFeed { client: KeptClient::new(addr), generation: 0 }
+        InstanceFeed { client: KeepAliveClient::new(addr), generation: 0 }
     }
 
     /// The next changes, or the whole list when the platform does not know
@@ -83,7 +83,7 @@
 fn parse<T: DeserializeOwned>(
     step: &'static str,
     peer: &str,
-    reply: KeptReply,
+    reply: BufferedResponse,
 ) -> Result<T, WireError> {
     if !reply.status.is_success() {
         return Err(WireError::Status {
--- a/crates/standin/src/engine/config.rs
+++ b/crates/standin/src/engine/config.rs
@@ -31,9 +31,9 @@
     /// Time of a decode step of one request alone.
     pub decode_per_token: Duration,
     /// What each further request in the batch adds to a step.
-    pub decode_per_neighbour: Duration,
+    pub decode_per_batched_request: Duration,
     /// How long a computed prefix stays in the prefix cache ("under a second").
-    pub prefix_keep: Duration,
+    pub prefix_ttl: Duration,
     /// Tokens the prefix cache holds; the least recently used yield.
     pub prefix_capacity_tokens: u64,
     /// Bytes of KV cache per prompt token (scaled down for loopback).
@@ -67,8 +67,8 @@
             prefill_per_token: Duration::from_micros(20),
             prefill_chunk_tokens: 512,
             decode_per_token: Duration::from_millis(8),
-            decode_per_neighbour: Duration::from_micros(300),
-            prefix_keep: Duration::from_millis(800),
+            decode_per_batched_request: Duration::from_micros(300),
+            prefix_ttl: Duration::from_millis(800),
             prefix_capacity_tokens: 32_000,
             kv_bytes_per_token: 16,
             link_bytes_per_second: 200_000_000,
--- a/crates/standin/src/engine/decode.rs
+++ b/crates/standin/src/engine/decode.rs
@@ -23,8 +23,8 @@
 use umberglade_wire::reply::ReplyBody;
 
 use super::EngineStandin;
-use super::HeldGuard;
-use super::SILENCE;
+use super::STALL_DURATION;
+use super::SlotGuard;
 
 /// Timeout for fetching a KV cache from a prefill server.
 const KV_FETCH_TIMEOUT: Duration = Duration::from_secs(2);
@@ -42,16 +42,16 @@
         let admitted = self.admit(&order.request_id, order.fence, EngineRole::Decode);
         let (guard, cancelled) = match admitted {
             Ok(admitted) => admitted,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let source = HttpClient::new(order.kv_source.clone(), KV_FETCH_TIMEOUT);
         let path = format!("/v1/kv/{}", order.kv_handle);
         let fetched = match source.send("fetch kv cache", Method::GET, &path, None).await {
-            Ok(response) => source.read_whole("fetch kv cache", response).await,
+            Ok(response) => source.read_full_body("fetch kv cache", response).await,
             Err(error) => Err(error),
         };
         if let Err(error) = fetched {
-            return reply::refusal(StatusCode::BAD_GATEWAY, "kv_fetch", &error.to_string(), None);
+            return reply::rejection(StatusCode::BAD_GATEWAY, "kv_fetch", &error.to_string(), None);
         }
         let (sender, response) = reply::stream(StatusCode::OK, "application/x-ndjson");
         let engine = self.clone();
@@ -68,7 +68,7 @@
         order: DecodeOrder,
         sender: ChunkSender,
         cancelled: Arc<AtomicBool>,
-        _guard: HeldGuard,
+        _guard: SlotGuard,
     ) {
         let deadline = Instant::now() + Duration::from_millis(order.deadline_ms);
         self.stream_tokens(order, sender, cancelled)
@@ -90,12 +90,12 @@
                 return;
             }
             let faults = self.faults();
-            let made = index - order.resume_from;
-            if faults.down || is_reached(faults.cut_after_tokens, made) {
+            let generated = index - order.resume_from;
+            if faults.down || is_reached(faults.cut_after_tokens, generated) {
                 return;
             }
-            if is_reached(faults.silent_after_tokens, made) {
-                smol::Timer::after(SILENCE).await;
+            if is_reached(faults.silent_after_tokens, generated) {
+                smol::Timer::after(STALL_DURATION).await;
             }
             if !send_token(&sender, &order, index, &faults).await && !faults.ignores_hangup {
                 return;
@@ -113,14 +113,15 @@
 
     /// The time of one decode step in the batch as it is now.
     fn step_time(&self) -> Duration {
-        let running = self.shared.state.lock().expect("engine state lock").held.len() as u32;
+        let running =
+            self.shared.state.lock().expect("engine state lock").active_requests.len() as u32;
         let config = &self.shared.config;
-        config.decode_per_token + config.decode_per_neighbour * running.saturating_sub(1)
+        config.decode_per_token + config.decode_per_batched_request * running.saturating_sub(1)
     }
 }
 
-fn is_reached(limit: u32, made: u32) -> bool {
-    limit > 0 && made >= limit
+fn is_reached(limit: u32, generated: u32) -> bool {
+    limit > 0 && generated >= limit
 }
 
 /// Sends token `index`, with the line faults asked for.
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -47,19 +47,19 @@
 use umberglade_wire::reply;
 use umberglade_wire::reply::ReplyBody;
 use umberglade_wire::server::RequestHandler;
-use umberglade_wire::server::parse_or_refuse;
-use umberglade_wire::server::read_body_or_refuse;
+use umberglade_wire::server::parse_or_reject;
+use umberglade_wire::server::read_body_or_reject;
 
 pub use self::config::DEFAULT_SLOTS;
 pub use self::config::EngineConfig;
 pub use self::decode::answer_token;
+use self::state::ActiveRequest;
 use self::state::EngineState;
-use self::state::HeldRequest;
 
 /// Seconds a refused caller is told to wait.
 const RETRY_AFTER_S: u64 = 1;
 /// How long an injected silence lasts: longer than any timeout.
-const SILENCE: Duration = Duration::from_secs(60);
+const STALL_DURATION: Duration = Duration::from_secs(60);
 /// Bound on entering the platform's instance list.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -81,7 +81,7 @@
     /// `load_lag`, so readers see old figures as real engines give them.
     load: Mutex<Option<(Instant, LoadReport)>>,
     /// Notified when the prefill queue changes.
-    prefill_moved: Event,
+    prefill_queue_changed: Event,
     /// KV transfers leave one after another.
     link: smol::lock::Mutex<()>,
 }
@@ -89,15 +89,15 @@
 /// Removes its request from the held table when dropped, whether the
 /// worker finished, failed or its caller went away: the memory a request
 /// holds is freed on every path out of its worker.
-struct HeldGuard {
+struct SlotGuard {
     shared: Arc<EngineShared>,
     request_id: RequestId,
 }
 
-impl Drop for HeldGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        state.held.remove(&self.request_id);
+        state.active_requests.remove(&self.request_id);
     }
 }
 
@@ -110,14 +110,14 @@
             started: Instant::now(),
             addr: OnceLock::new(),
             load: Mutex::new(None),
-            prefill_moved: Event::new(),
+            prefill_queue_changed: Event::new(),
             link: smol::lock::Mutex::new(()),
         };
         EngineStandin { shared: Arc::new(shared) }
     }
 
     /// Tells the stand-in where it listens, for the instance list.
-    pub fn listens_on(&self, addr: SocketAddr) {
+    pub fn set_listen_addr(&self, addr: SocketAddr) {
         let _ = self.shared.addr.set(addr);
     }
 
@@ -150,9 +150,9 @@
     /// Guards against a stop that never ends, or cuts a request: under load
     /// there is seldom a moment without work, and a request may come between
     /// such a moment and the end of the process.
-    pub async fn run_empty(&self) {
+    pub async fn drain(&self) {
         self.shared.state.lock().expect("engine state lock").leaving = true;
-        while !self.shared.state.lock().expect("engine state lock").held.is_empty() {
+        while !self.shared.state.lock().expect("engine state lock").active_requests.is_empty() {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
     }
@@ -180,12 +180,12 @@
     ) -> Result<Response<ReplyBody>, Response<ReplyBody>> {
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         let response = match (method, segments.as_slice()) {
-            (&Method::POST, ["v1", "prefill"]) => self.prefill(parse_or_refuse(&body)?).await,
-            (&Method::POST, ["v1", "decode"]) => self.decode(parse_or_refuse(&body)?).await,
-            (&Method::POST, ["v1", "cancel"]) => self.cancel(parse_or_refuse(&body)?),
-            (&Method::POST, ["v1", "order"]) => self.order(parse_or_refuse(&body)?).await,
+            (&Method::POST, ["v1", "prefill"]) => self.prefill(parse_or_reject(&body)?).await,
+            (&Method::POST, ["v1", "decode"]) => self.decode(parse_or_reject(&body)?).await,
+            (&Method::POST, ["v1", "cancel"]) => self.cancel(parse_or_reject(&body)?),
+            (&Method::POST, ["v1", "order"]) => self.order(parse_or_reject(&body)?).await,
             (&Method::POST, ["v1", "faults"]) => {
-                let faults: EngineFaults = parse_or_refuse(&body)?;
+                let faults: EngineFaults = parse_or_reject(&body)?;
                 self.set_faults(faults.clone());
                 reply::json(StatusCode::OK, &faults)
             }
@@ -195,10 +195,10 @@
             (&Method::GET, ["v1", "cache-events"]) => self.cache_events(query),
             (&Method::GET, ["v1", "stats"]) => {
                 let mut state = self.shared.state.lock().expect("engine state lock");
-                state.sweep(Instant::now());
+                state.evict_expired_exports(Instant::now());
                 reply::json(StatusCode::OK, &state.snapshot())
             }
-            _ => reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such route", None),
+            _ => reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such route", None),
         };
         Ok(response)
     }
@@ -228,17 +228,17 @@
         request_id: &RequestId,
         fence: Fence,
         role: EngineRole,
-    ) -> Result<(HeldGuard, Arc<AtomicBool>), Response<ReplyBody>> {
+    ) -> Result<(SlotGuard, Arc<AtomicBool>), Response<ReplyBody>> {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        state.sweep(Instant::now());
+        state.evict_expired_exports(Instant::now());
         if fence < state.highest_fence && self.shared.config.checks_fence {
             state.stats.fenced_off += 1;
             let message = format!("fence {fence} is older than {}", state.highest_fence);
-            return Err(reply::refusal(StatusCode::CONFLICT, "stale_fence", &message, None));
+            return Err(reply::rejection(StatusCode::CONFLICT, "stale_fence", &message, None));
         }
         if state.role != role {
             let message = format!("this server's role is {}", state.role);
-            return Err(reply::refusal(
+            return Err(reply::rejection(
                 StatusCode::MISDIRECTED_REQUEST,
                 "wrong_role",
                 &message,
@@ -246,17 +246,17 @@
             ));
         }
         state.highest_fence = state.highest_fence.max(fence);
-        let is_full = state.held.len() as u32 >= self.shared.config.slots;
+        let is_full = state.active_requests.len() as u32 >= self.shared.config.slots;
         if state.busy || state.leaving || state.faults.down || is_full {
-            return Err(reply::refusal(
+            return Err(reply::rejection(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "engine_full",
                 "no free slot",
                 Some(RETRY_AFTER_S),
             ));
         }
-        if state.held.contains_key(request_id) {
-            return Err(reply::refusal(
+        if state.active_requests.contains_key(request_id) {
+            return Err(reply::rejection(
                 StatusCode::CONFLICT,
                 "duplicate",
                 "request already held",
@@ -264,18 +264,20 @@
             ));
         }
         let cancelled = Arc::new(AtomicBool::new(false));
-        state.held.insert(request_id.clone(), HeldRequest { cancelled: cancelled.clone() });
-        let guard = HeldGuard { shared: self.shared.clone(), request_id: request_id.clone() };
+        state
+            .active_requests
+            .insert(request_id.clone(), ActiveRequest { cancelled: cancelled.clone() });
+        let guard = SlotGuard { shared: self.shared.clone(), request_id: request_id.clone() };
         Ok((guard, cancelled))
     }
 
     fn cancel(&self, order: CancelOrder) -> Response<ReplyBody> {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        let held = state.held.get(&order.request_id);
-        if let Some(held) = held {
-            held.cancelled.store(true, Ordering::Release);
+        let request = state.active_requests.get(&order.request_id);
+        if let Some(request) = request {
+            request.cancelled.store(true, Ordering::Release);
         }
-        let freed = held.is_some();
+        let freed = request.is_some();
         let export = state.exports.iter().find(|(_, export)| export.request_id == order.request_id);
         let export = export.map(|(handle, _)| *handle);
         if let Some(removed) = export.and_then(|handle| state.exports.remove(&handle)) {
@@ -295,15 +297,15 @@
         let now = Instant::now();
         let state = self.shared.state.lock().expect("engine state lock");
         let mut load = self.shared.load.lock().expect("engine load lock");
-        if let Some((taken, report)) = load.as_ref()
-            && now.duration_since(*taken) < self.shared.config.load_lag
+        if let Some((taken_at, report)) = load.as_ref()
+            && now.duration_since(*taken_at) < self.shared.config.load_lag
         {
             return report.clone();
         }
         let report = LoadReport {
             server: self.shared.config.server.clone(),
             role: state.role,
-            running: state.held.len() as u32,
+            running: state.active_requests.len() as u32,
             waiting: 0,
             slots: self.shared.config.slots,
             queued_tokens: state.queued_tokens,
@@ -317,9 +319,9 @@
 impl RequestHandler for EngineStandin {
     async fn handle(&self, request: Request<Incoming>, _peer: SocketAddr) -> Response<ReplyBody> {
         let (parts, body) = request.into_parts();
-        let body = match read_body_or_refuse(body).await {
+        let body = match read_body_or_reject(body).await {
             Ok(body) => body,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let query = parts.uri.query().unwrap_or_default();
         let (method, path) = (&parts.method, parts.uri.path());
@@ -328,7 +330,7 @@
         } else {
             self.route(method, path, query, body).await
         };
-        let mut response = routed.unwrap_or_else(|refusal| refusal);
+        let mut response = routed.unwrap_or_else(|rejection| rejection);
         let sample = LoadSample::from(&self.load()).to_string();
         if let Ok(value) = HeaderValue::from_str(&sample) {
             response.headers_mut().insert(LOAD_HEADER, value);
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -15,29 +15,29 @@
 use umberglade_wire::reply::ReplyBody;
 
 use super::EngineStandin;
-use super::SILENCE;
+use super::STALL_DURATION;
 
 /// Longest a change of role waits for work in hand.
-const FINISH_LIMIT: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// How often it looks whether that work is done.
-const FINISH_POLL: Duration = Duration::from_millis(10);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl EngineStandin {
     /// Takes `order`, or leaves it unanswered and carries it out late.
     pub(super) async fn order(&self, order: EngineOrder) -> Response<ReplyBody> {
-        let late = Duration::from_millis(self.faults().late_order_ms);
-        if !late.is_zero() {
+        let delay = Duration::from_millis(self.faults().late_order_ms);
+        if !delay.is_zero() {
             let engine = self.clone();
             pool::spawn(async move {
-                smol::Timer::after(late).await;
+                smol::Timer::after(delay).await;
                 let _ = engine.accept(order);
             });
-            smol::Timer::after(SILENCE).await;
+            smol::Timer::after(STALL_DURATION).await;
             return conflict("late", "the order was left unanswered");
         }
         match self.accept(order) {
             Ok(reply) => reply::json(StatusCode::ACCEPTED, &reply),
-            Err(refusal) => refusal,
+            Err(rejection) => rejection,
         }
     }
 
@@ -61,11 +61,11 @@
         let sequence = state.order_sequence;
         drop(state);
         let engine = self.clone();
-        pool::spawn(async move { engine.carry_out(order.operation).await });
+        pool::spawn(async move { engine.execute(order.operation).await });
         Ok(OrderReply { sequence })
     }
 
-    async fn carry_out(&self, operation: OrderOperation) {
+    async fn execute(&self, operation: OrderOperation) {
         let config = &self.shared.config;
         match operation {
             OrderOperation::LoadModel { model, version } => {
@@ -80,7 +80,7 @@
                 state.adapters.push(adapter);
             }
             OrderOperation::SetRole { role } => {
-                self.finish_work().await;
+                self.wait_until_idle().await;
                 smol::Timer::after(config.role_switch).await;
                 self.shared.state.lock().expect("engine state lock").role = role;
             }
@@ -90,13 +90,13 @@
     }
 
     /// Waits until no request is held: a change of role cuts nothing.
-    async fn finish_work(&self) {
-        let limit = Instant::now() + FINISH_LIMIT;
-        while Instant::now() < limit {
-            if self.shared.state.lock().expect("engine state lock").held.is_empty() {
+    async fn wait_until_idle(&self) {
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
+        while Instant::now() < deadline {
+            if self.shared.state.lock().expect("engine state lock").active_requests.is_empty() {
                 return;
             }
-            smol::Timer::after(FINISH_POLL).await;
+            smol::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -115,5 +115,5 @@
 }
 
 fn conflict(kind: &str, message: &str) -> Response<ReplyBody> {
-    reply::refusal(StatusCode::CONFLICT, kind, message, None)
+    reply::rejection(StatusCode::CONFLICT, kind, message, None)
 }
--- a/crates/standin/src/engine/prefill.rs
+++ b/crates/standin/src/engine/prefill.rs
@@ -18,48 +18,48 @@
 
 use super::EngineShared;
 use super::EngineStandin;
-use super::SILENCE;
+use super::STALL_DURATION;
 use super::state::KvExport;
 use super::state::PrefillTicket;
 
 /// A place in the prefill queue, given up when dropped: a caller that goes
 /// away mid-prefill never blocks the prompts behind it.
-struct QueuePlace {
+struct QueueEntry {
     shared: Arc<EngineShared>,
     ticket: PrefillTicket,
     /// Prompt tokens still to compute.
     remaining: u32,
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueueEntry {
     fn drop(&mut self) {
         let mut state = self.shared.state.lock().expect("engine state lock");
         state.prefill_queue.remove(&self.ticket);
         state.queued_tokens -= u64::from(self.remaining);
         drop(state);
-        self.shared.prefill_moved.notify(usize::MAX);
+        self.shared.prefill_queue_changed.notify(usize::MAX);
     }
 }
 
-impl QueuePlace {
-    fn is_first(&self) -> bool {
+impl QueueEntry {
+    fn is_at_head(&self) -> bool {
         let state = self.shared.state.lock().expect("engine state lock");
         state.prefill_queue.first() == Some(&self.ticket)
     }
 
     /// Waits until this prompt is the first in the queue.
-    async fn turn(&self) {
-        while !self.is_first() {
-            let moved = self.shared.prefill_moved.listen();
-            if self.is_first() {
+    async fn wait_for_turn(&self) {
+        while !self.is_at_head() {
+            let changed = self.shared.prefill_queue_changed.listen();
+            if self.is_at_head() {
                 return;
             }
-            moved.await;
+            changed.await;
         }
     }
 
     /// Counts `tokens` as computed.
-    fn advance(&mut self, tokens: u32) {
+    fn record_computed(&mut self, tokens: u32) {
         self.remaining -= tokens;
         let mut state = self.shared.state.lock().expect("engine state lock");
         state.queued_tokens -= u64::from(tokens);
@@ -70,17 +70,17 @@
 impl EngineStandin {
     pub(super) async fn prefill(&self, order: PrefillOrder) -> Response<ReplyBody> {
         if self.faults().silent_prefill {
-            smol::Timer::after(SILENCE).await;
+            smol::Timer::after(STALL_DURATION).await;
         }
         let admitted = self.admit(&order.request_id, order.fence, EngineRole::Prefill);
         let (_guard, cancelled) = match admitted {
             Ok(admitted) => admitted,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let cached_tokens = self.cached_prefix(&order);
         let computed_tokens = order.prompt_tokens - cached_tokens;
-        if let Err(refusal) = self.compute(&order, computed_tokens, &cancelled).await {
-            return refusal;
+        if let Err(rejection) = self.compute(&order, computed_tokens, &cancelled).await {
+            return rejection;
         }
         let reply = self.export(&order, computed_tokens, cached_tokens);
         reply::json(StatusCode::OK, &reply)
@@ -95,28 +95,28 @@
         cancelled: &AtomicBool,
     ) -> Result<(), Response<ReplyBody>> {
         let deadline = Instant::now() + Duration::from_millis(order.deadline_ms);
-        let mut place = self.enqueue(order, tokens);
-        while place.remaining > 0 {
-            place.turn().await;
+        let mut entry = self.enqueue(order, tokens);
+        while entry.remaining > 0 {
+            entry.wait_for_turn().await;
             if cancelled.load(Ordering::Acquire) || Instant::now() >= deadline {
-                let done = tokens - place.remaining;
+                let done = tokens - entry.remaining;
                 self.shared.state.lock().expect("engine state lock").stats.wasted_tokens +=
                     u64::from(done);
-                return Err(reply::refusal(
+                return Err(reply::rejection(
                     StatusCode::GONE,
                     "cancelled",
                     "prefill cancelled or past its deadline",
                     None,
                 ));
             }
-            let chunk = place.remaining.min(self.shared.config.prefill_chunk_tokens);
+            let chunk = entry.remaining.min(self.shared.config.prefill_chunk_tokens);
             smol::Timer::after(self.shared.config.prefill_per_token * chunk).await;
-            place.advance(chunk);
+            entry.record_computed(chunk);
         }
         Ok(())
     }
 
-    fn enqueue(&self, order: &PrefillOrder, tokens: u32) -> QueuePlace {
+    fn enqueue(&self, order: &PrefillOrder, tokens: u32) -> QueueEntry {
         let mut state = self.shared.state.lock().expect("engine state lock");
         state.next_ticket += 1;
         let ticket = (order.priority, state.next_ticket);
@@ -126,8 +126,8 @@
             state.stats.repeated_tokens += u64::from(tokens);
         }
         drop(state);
-        self.shared.prefill_moved.notify(usize::MAX);
-        QueuePlace { shared: Arc::clone(&self.shared), ticket, remaining: tokens }
+        self.shared.prefill_queue_changed.notify(usize::MAX);
+        QueueEntry { shared: Arc::clone(&self.shared), ticket, remaining: tokens }
     }
 
     fn cached_prefix(&self, order: &PrefillOrder) -> u32 {
@@ -177,15 +177,15 @@
     /// can be taken once.
     pub(super) async fn fetch_kv(&self, handle: &str) -> Response<ReplyBody> {
         if self.faults().stall_kv {
-            smol::Timer::after(SILENCE).await;
+            smol::Timer::after(STALL_DURATION).await;
         }
         let export = {
             let mut state = self.shared.state.lock().expect("engine state lock");
-            state.sweep(Instant::now());
+            state.evict_expired_exports(Instant::now());
             handle.parse().ok().and_then(|handle| state.exports.remove(&handle))
         };
         let Some(export) = export else {
-            return reply::refusal(
+            return reply::rejection(
                 StatusCode::GONE,
                 "evicted",
                 "no such KV cache (evicted or fetched)",
@@ -195,7 +195,7 @@
         let rate = self.shared.config.link_bytes_per_second.max(1);
         let _link = self.shared.link.lock().await;
         smol::Timer::after(Duration::from_secs_f64(export.bytes as f64 / rate as f64)).await;
-        reply::whole(
+        reply::full(
             StatusCode::OK,
             "application/octet-stream",
             Bytes::from(vec![0u8; export.bytes as usize]),
--- a/crates/standin/src/engine/prefix_cache.rs
+++ b/crates/standin/src/engine/prefix_cache.rs
@@ -10,9 +10,9 @@
 use umberglade_wire::engine::CacheEventPage;
 
 /// Events kept for readers; older ones are lost.
-const EVENTS_KEPT: usize = 256;
+const MAX_RETAINED_EVENTS: usize = 256;
 /// Every so-manieth event never appears: real engines leave gaps.
-const EVENT_GAP: u64 = 16;
+const DROPPED_EVENT_INTERVAL: u64 = 16;
 
 #[derive(Debug)]
 struct CachedPrefix {
@@ -29,7 +29,7 @@
 /// Prefixes whose KV cache the engine still has.
 #[derive(Debug)]
 pub struct PrefixCache {
-    keep: Duration,
+    ttl: Duration,
     capacity_tokens: u64,
     event_lag: Duration,
     prefixes: HashMap<u64, CachedPrefix>,
@@ -40,9 +40,9 @@
 
 impl PrefixCache {
     /// An empty cache whose entries live `keep` after their last use.
-    pub fn new(keep: Duration, capacity_tokens: u64, event_lag: Duration) -> Self {
+    pub fn new(ttl: Duration, capacity_tokens: u64, event_lag: Duration) -> Self {
         PrefixCache {
-            keep,
+            ttl,
             capacity_tokens,
             event_lag,
             prefixes: HashMap::new(),
@@ -53,7 +53,7 @@
 
     /// Tokens of `prefix_hash` that need no computing now; touches it.
     pub fn lookup(&mut self, prefix_hash: u64, now: Instant) -> u32 {
-        self.evict_old(now);
+        self.evict_expired(now);
         match self.prefixes.get_mut(&prefix_hash) {
             Some(prefix) => {
                 prefix.last_used = now;
@@ -65,12 +65,12 @@
 
     /// Keeps `tokens` of `prefix_hash`; the least recently used yield.
     pub fn insert(&mut self, prefix_hash: u64, tokens: u32, now: Instant) {
-        self.evict_old(now);
-        let known = self.prefixes.insert(prefix_hash, CachedPrefix { tokens, last_used: now });
-        if known.is_none() {
+        self.evict_expired(now);
+        let previous = self.prefixes.insert(prefix_hash, CachedPrefix { tokens, last_used: now });
+        if previous.is_none() {
             self.publish(CacheChange::Added, prefix_hash, now);
         }
-        while self.held_tokens() > self.capacity_tokens && self.prefixes.len() > 1 {
+        while self.total_tokens() > self.capacity_tokens && self.prefixes.len() > 1 {
             let oldest = self.prefixes.iter().min_by_key(|(_, prefix)| prefix.last_used);
             let Some(hash) = oldest.map(|(hash, _)| *hash) else {
                 break;
@@ -93,19 +93,19 @@
         CacheEventPage { next, lost, events: published }
     }
 
-    fn held_tokens(&self) -> u64 {
+    fn total_tokens(&self) -> u64 {
         self.prefixes.values().map(|prefix| u64::from(prefix.tokens)).sum()
     }
 
-    fn evict_old(&mut self, now: Instant) {
-        let keep = self.keep;
-        let old: Vec<u64> = self
+    fn evict_expired(&mut self, now: Instant) {
+        let ttl = self.ttl;
+        let expired: Vec<u64> = self
             .prefixes
             .iter()
-            .filter(|(_, prefix)| now.duration_since(prefix.last_used) >= keep)
+            .filter(|(_, prefix)| now.duration_since(prefix.last_used) >= ttl)
             .map(|(hash, _)| *hash)
             .collect();
-        for hash in old {
+        for hash in expired {
             self.remove(hash, now);
         }
     }
@@ -118,10 +118,10 @@
     fn publish(&mut self, change: CacheChange, prefix_hash: u64, now: Instant) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        if sequence.is_multiple_of(EVENT_GAP) {
+        if sequence.is_multiple_of(DROPPED_EVENT_INTERVAL) {
             return;
         }
-        if self.events.len() == EVENTS_KEPT {
+        if self.events.len() == MAX_RETAINED_EVENTS {
             self.events.remove(0);
         }
         let event = CacheEvent { sequence, change, prefix_hash };
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -21,7 +21,7 @@
 
 /// A request that holds engine memory.
 #[derive(Debug, Clone)]
-pub struct HeldRequest {
+pub struct ActiveRequest {
     /// Set by a cancel order; the worker stops at its next step.
     pub cancelled: Arc<AtomicBool>,
 }
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct EngineState {
     /// Invariant: a request is here exactly while a worker runs for it.
-    pub held: HashMap<RequestId, HeldRequest>,
+    pub active_requests: HashMap<RequestId, ActiveRequest>,
     pub exports: HashMap<KvHandle, KvExport>,
     pub cache: PrefixCache,
     /// Prompts being computed or waiting; the first computes.
@@ -74,10 +74,10 @@
     /// The state of an engine that has just started with `config`.
     pub fn new(config: &EngineConfig) -> Self {
         EngineState {
-            held: HashMap::new(),
+            active_requests: HashMap::new(),
             exports: HashMap::new(),
             cache: PrefixCache::new(
-                config.prefix_keep,
+                config.prefix_ttl,
                 config.prefix_capacity_tokens,
                 config.event_lag,
             ),
@@ -100,7 +100,7 @@
     }
 
     /// Evicts expired exports, counting their prefill as wasted.
-    pub fn sweep(&mut self, now: Instant) {
+    pub fn evict_expired_exports(&mut self, now: Instant) {
         let expired: Vec<KvHandle> = self
             .exports
             .iter()
@@ -117,7 +117,7 @@
     /// The figures of [`EngineStats`] as they are now.
     pub fn snapshot(&self) -> EngineStats {
         let mut stats = self.stats.clone();
-        stats.held_requests = self.held.len() as u32;
+        stats.held_requests = self.active_requests.len() as u32;
         stats.held_exports = self.exports.len() as u32;
         stats
     }
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -12,23 +12,23 @@
 use http::Response;
 use http::StatusCode;
 use hyper::body::Incoming;
-use umberglade_wire::plain::PlainAnswer;
 use umberglade_wire::plain::PlainCall;
 use umberglade_wire::plain::PlainFaults;
+use umberglade_wire::plain::PlainResponse;
 use umberglade_wire::plain::PlainStats;
 use umberglade_wire::reply;
 use umberglade_wire::reply::ReplyBody;
 use umberglade_wire::server::RequestHandler;
-use umberglade_wire::server::parse_or_refuse;
-use umberglade_wire::server::read_body_or_refuse;
+use umberglade_wire::server::parse_or_reject;
+use umberglade_wire::server::read_body_or_reject;
 
 /// How long one call takes.
-const CALL_TIME: Duration = Duration::from_millis(20);
+const CALL_DURATION: Duration = Duration::from_millis(20);
 
 /// The path of lookups, which may be repeated.
-const LOOKUP: &str = "/v1/lookup/";
+const LOOKUP_PREFIX: &str = "/v1/lookup/";
 /// How long a lost answer holds the connection: longer than any timeout.
-const SILENCE: Duration = Duration::from_secs(60);
+const STALL_DURATION: Duration = Duration::from_secs(60);
 
 /// A plain service; every call runs its action. Lock order: `faults`, then
 /// `runs`; no call holds both.
@@ -55,18 +55,18 @@
     async fn call(&self, call: PlainCall) -> Response<ReplyBody> {
         let faults = self.faults();
         if faults.refuse {
-            return reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "full", "not run", Some(1));
+            return reply::rejection(StatusCode::SERVICE_UNAVAILABLE, "full", "not run", Some(1));
         }
-        smol::Timer::after(CALL_TIME).await;
+        smol::Timer::after(CALL_DURATION).await;
         let confirmation = self.run(&call);
         if faults.lose_answers {
-            smol::Timer::after(SILENCE).await;
+            smol::Timer::after(STALL_DURATION).await;
         }
         if faults.fail {
             let message = "failed halfway through";
-            return reply::refusal(StatusCode::INTERNAL_SERVER_ERROR, "failed", message, None);
+            return reply::rejection(StatusCode::INTERNAL_SERVER_ERROR, "failed", message, None);
         }
-        reply::json(StatusCode::OK, &PlainAnswer { confirmation })
+        reply::json(StatusCode::OK, &PlainResponse { confirmation })
     }
 
     /// Runs the action and returns its confirmation.
@@ -76,21 +76,21 @@
         format!("bk-{}-{}", call.organisation, runs.len())
     }
 
-    async fn lookup(&self, what: &str) -> Response<ReplyBody> {
+    async fn lookup(&self, item: &str) -> Response<ReplyBody> {
         if self.faults().refuse {
-            return reply::refusal(StatusCode::SERVICE_UNAVAILABLE, "full", "not run", Some(1));
+            return reply::rejection(StatusCode::SERVICE_UNAVAILABLE, "full", "not run", Some(1));
         }
-        smol::Timer::after(CALL_TIME).await;
-        reply::json(StatusCode::OK, &PlainAnswer { confirmation: format!("{what}: free") })
+        smol::Timer::after(CALL_DURATION).await;
+        reply::json(StatusCode::OK, &PlainResponse { confirmation: format!("{item}: free") })
     }
 
     fn set_faults(&self, body: &[u8]) -> Response<ReplyBody> {
-        match parse_or_refuse::<PlainFaults>(body) {
+        match parse_or_reject::<PlainFaults>(body) {
             Ok(faults) => {
                 *self.faults.lock().expect("faults lock") = faults.clone();
                 reply::json(StatusCode::OK, &faults)
             }
-            Err(refusal) => refusal,
+            Err(rejection) => rejection,
         }
     }
 }
@@ -98,22 +98,22 @@
 impl RequestHandler for PlainStandin {
     async fn handle(&self, request: Request<Incoming>, _peer: SocketAddr) -> Response<ReplyBody> {
         let (parts, body) = request.into_parts();
-        let body = match read_body_or_refuse(body).await {
+        let body = match read_body_or_reject(body).await {
             Ok(body) => body,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let path = parts.uri.path();
         match (&parts.method, path) {
-            (&Method::GET, _) if path.starts_with(LOOKUP) => {
-                self.lookup(&path[LOOKUP.len()..]).await
+            (&Method::GET, _) if path.starts_with(LOOKUP_PREFIX) => {
+                self.lookup(&path[LOOKUP_PREFIX.len()..]).await
             }
             (&Method::POST, "/v1/faults") => self.set_faults(&body),
-            (&Method::POST, "/v1/call") => match parse_or_refuse(&body) {
+            (&Method::POST, "/v1/call") => match parse_or_reject(&body) {
                 Ok(call) => self.call(call).await,
-                Err(refusal) => refusal,
+                Err(rejection) => rejection,
             },
             (&Method::GET, "/v1/stats") => reply::json(StatusCode::OK, &self.stats()),
-            _ => reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such route", None),
+            _ => reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such route", None),
         }
     }
 }
--- a/crates/standin/src/platform/instances.rs
+++ b/crates/standin/src/platform/instances.rs
@@ -11,7 +11,7 @@
 
 /// One change and when readers see it.
 #[derive(Debug)]
-struct BoardChange {
+struct InstanceChange {
     visible_from: Instant,
     entry: InstanceEntry,
 }
@@ -19,21 +19,21 @@
 /// The list: every change in the order it was made. Since the lag is the
 /// same for all, they become visible in that order too.
 #[derive(Debug)]
-pub struct InstanceBoard {
+pub struct InstanceRegistry {
     lag: Duration,
-    changes: Vec<BoardChange>,
+    changes: Vec<InstanceChange>,
 }
 
-impl InstanceBoard {
+impl InstanceRegistry {
     /// A list whose changes show `lag` after they are made.
     pub fn new(lag: Duration) -> Self {
-        InstanceBoard { lag, changes: Vec::new() }
+        InstanceRegistry { lag, changes: Vec::new() }
     }
 
     /// Records `entry`; readers see it once the lag has passed.
     pub fn set(&mut self, entry: InstanceEntry) {
         let visible_from = Instant::now() + self.lag;
-        self.changes.push(BoardChange { visible_from, entry });
+        self.changes.push(InstanceChange { visible_from, entry });
     }
 
     /// How many changes are visible now.
@@ -44,7 +44,7 @@
 
     /// What changed after generation `after`; the whole list when `after`
     /// is 0 or beyond what this copy of the list has seen.
-    pub fn visible(&self, after: u64) -> InstanceList {
+    pub fn visible_since(&self, after: u64) -> InstanceList {
         let generation = self.generation();
         let delta = after > 0 && after <= generation;
         let from = if delta { after as usize } else { 0 };
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -40,11 +40,11 @@
 use umberglade_wire::reply;
 use umberglade_wire::reply::ReplyBody;
 use umberglade_wire::server::RequestHandler;
-use umberglade_wire::server::parse_or_refuse;
-use umberglade_wire::server::read_body_or_refuse;
+use umberglade_wire::server::parse_or_reject;
+use umberglade_wire::server::read_body_or_reject;
 
-pub use self::instances::InstanceBoard;
-pub use self::objects::ObjectShelf;
+pub use self::instances::InstanceRegistry;
+pub use self::objects::ObjectStore;
 use self::query::CallQuery;
 pub use self::table::RowTable;
 use crate::rate::RateWindow;
@@ -54,10 +54,10 @@
 /// Reads a second it takes ("about two thousand").
 pub const DEFAULT_READS_PER_SECOND: u32 = 2000;
 /// How long a lost reply holds the connection silent.
-const LOST_REPLY_HOLD: Duration = Duration::from_secs(30);
+const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
 /// How often a held instance feed looks again: the list's lag makes
 /// changes visible by time alone, so no write can wake it.
-const INSTANCE_POLL: Duration = Duration::from_millis(50);
+const INSTANCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Seconds a refused caller is told to wait.
 const RETRY_AFTER_S: u64 = 1;
 
@@ -86,9 +86,9 @@
 pub struct PlatformStandin {
     table: Mutex<RowTable>,
     /// Notified after each accepted write to `table`.
-    written: Event,
-    instances: Mutex<InstanceBoard>,
-    objects: Mutex<ObjectShelf>,
+    row_written: Event,
+    instances: Mutex<InstanceRegistry>,
+    objects: Mutex<ObjectStore>,
     faults: Mutex<FaultPlan>,
     reads: RateWindow,
     writes: RateWindow,
@@ -109,9 +109,9 @@
     pub fn new(config: PlatformConfig) -> Self {
         PlatformStandin {
             table: Mutex::new(RowTable::default()),
-            written: Event::new(),
-            instances: Mutex::new(InstanceBoard::new(config.instance_lag)),
-            objects: Mutex::new(ObjectShelf::default()),
+            row_written: Event::new(),
+            instances: Mutex::new(InstanceRegistry::new(config.instance_lag)),
+            objects: Mutex::new(ObjectStore::default()),
             faults: Mutex::new(FaultPlan::default()),
             reads: RateWindow::new(config.reads_per_second),
             writes: RateWindow::new(config.writes_per_second),
@@ -140,12 +140,12 @@
         match (method, segments.as_slice()) {
             (&Method::POST, ["v1", "faults"]) => self.set_faults(&body),
             (&Method::GET, ["v1", "usage"]) => reply::json(StatusCode::OK, &self.usage()),
-            (method, ["v1", ..]) => self.table_call(method, &segments[1..], &query, body).await,
-            _ => not_found(),
+            (method, ["v1", ..]) => self.service_call(method, &segments[1..], &query, body).await,
+            _ => not_found_response(),
         }
     }
 
-    async fn table_call(
+    async fn service_call(
         &self,
         method: &Method,
         segments: &[&str],
@@ -154,18 +154,18 @@
     ) -> Response<ReplyBody> {
         let faults = self.faults();
         if faults.silent {
-            smol::Timer::after(LOST_REPLY_HOLD).await;
+            smol::Timer::after(LOST_REPLY_DELAY).await;
         }
         if faults.delay_ms > 0 {
             smol::Timer::after(Duration::from_millis(faults.delay_ms)).await;
         }
         if faults.outage {
-            return self.refuse(StatusCode::SERVICE_UNAVAILABLE, "outage");
+            return self.reject(StatusCode::SERVICE_UNAVAILABLE, "outage");
         }
         let is_write = method != Method::GET;
         let admitted = if is_write { self.writes.admit() } else { self.reads.admit() };
         if !admitted {
-            return self.refuse(StatusCode::TOO_MANY_REQUESTS, "over rate");
+            return self.reject(StatusCode::TOO_MANY_REQUESTS, "over rate");
         }
         let counter = if is_write { &self.usage.writes } else { &self.usage.reads };
         counter.fetch_add(1, Ordering::Relaxed);
@@ -173,9 +173,9 @@
             (&Method::GET, ["rows", table, key]) => self.get_row(table, key),
             (&Method::GET, ["rows", table]) => self.list_rows(table, query),
             (&Method::POST, ["rows", table, "remove"]) => {
-                match parse_or_refuse::<RowRemovals>(&body) {
+                match parse_or_reject::<RowRemovals>(&body) {
                     Ok(removals) => self.remove_rows(table, &removals.rows),
-                    Err(refusal) => refusal,
+                    Err(rejection) => rejection,
                 }
             }
             (&Method::PUT, ["rows", table, key]) => self.put_row(table, key, &body),
@@ -190,11 +190,11 @@
             (&Method::PUT, ["objects", name]) => self.put_object(name, body),
             (&Method::DELETE, ["objects", name]) => self.remove_object(name),
             (&Method::PUT, ["instances", _]) => self.set_instance(&body),
-            _ => not_found(),
+            _ => not_found_response(),
         };
-        if is_write && lose_this_reply(faults.lose_reply_percent) {
+        if is_write && should_lose_reply(faults.lose_reply_percent) {
             // Done or refused as a conflict; the caller never hears of it.
-            smol::Timer::after(LOST_REPLY_HOLD).await;
+            smol::Timer::after(LOST_REPLY_DELAY).await;
         }
         response
     }
@@ -202,7 +202,7 @@
     fn get_row(&self, table: &str, key: &str) -> Response<ReplyBody> {
         match self.table.lock().expect("table lock").get(table, key) {
             Some(row) => reply::json(StatusCode::OK, &row),
-            None => not_found(),
+            None => not_found_response(),
         }
     }
 
@@ -213,13 +213,13 @@
     }
 
     fn put_row(&self, table: &str, key: &str, body: &[u8]) -> Response<ReplyBody> {
-        let write: RowWrite = match parse_or_refuse(body) {
+        let write: RowWrite = match parse_or_reject(body) {
             Ok(write) => write,
             Err(response) => return response,
         };
         match self.table.lock().expect("table lock").put(table, key, write) {
             Ok(row) => {
-                self.written.notify(usize::MAX);
+                self.row_written.notify(usize::MAX);
                 reply::json(StatusCode::OK, &row)
             }
             Err(conflict) => reply::json(StatusCode::CONFLICT, &conflict),
@@ -238,15 +238,15 @@
     async fn feed(&self, table: &str, query: &CallQuery) -> Response<ReplyBody> {
         let deadline = Instant::now() + query.wait();
         loop {
-            let written = self.written.listen();
+            let row_written = self.row_written.listen();
             let page = self.table.lock().expect("table lock").feed(table, query.after);
             let Some(page) = page else {
-                return reply::refusal(StatusCode::GONE, "history", "unknown generation", None);
+                return reply::rejection(StatusCode::GONE, "history", "unknown generation", None);
             };
             if !page.rows.is_empty() || Instant::now() >= deadline || self.faults().outage {
                 return reply::json(StatusCode::OK, &page);
             }
-            written
+            row_written
                 .or(async {
                     smol::Timer::at(deadline).await;
                 })
@@ -261,9 +261,9 @@
             if generation != query.after || Instant::now() >= deadline {
                 break;
             }
-            smol::Timer::after(INSTANCE_POLL).await;
+            smol::Timer::after(INSTANCE_POLL_INTERVAL).await;
         }
-        let list = self.instances.lock().expect("instances lock").visible(query.after);
+        let list = self.instances.lock().expect("instances lock").visible_since(query.after);
         reply::json(StatusCode::OK, &list)
     }
 
@@ -274,8 +274,8 @@
 
     fn get_object(&self, name: &str) -> Response<ReplyBody> {
         match self.objects.lock().expect("objects lock").get(name) {
-            Some(body) => reply::whole(StatusCode::OK, "application/octet-stream", body),
-            None => not_found(),
+            Some(body) => reply::full(StatusCode::OK, "application/octet-stream", body),
+            None => not_found_response(),
         }
     }
 
@@ -287,12 +287,12 @@
     fn remove_object(&self, name: &str) -> Response<ReplyBody> {
         match self.objects.lock().expect("objects lock").remove(name) {
             true => reply::json(StatusCode::OK, &ObjectList::default()),
-            false => not_found(),
+            false => not_found_response(),
         }
     }
 
     fn set_instance(&self, body: &[u8]) -> Response<ReplyBody> {
-        let entry: InstanceEntry = match parse_or_refuse(body) {
+        let entry: InstanceEntry = match parse_or_reject(body) {
             Ok(entry) => entry,
             Err(response) => return response,
         };
@@ -301,7 +301,7 @@
     }
 
     fn set_faults(&self, body: &[u8]) -> Response<ReplyBody> {
-        let plan: FaultPlan = match parse_or_refuse(body) {
+        let plan: FaultPlan = match parse_or_reject(body) {
             Ok(plan) => plan,
             Err(response) => return response,
         };
@@ -321,18 +321,18 @@
         }
     }
 
-    fn refuse(&self, status: StatusCode, why: &str) -> Response<ReplyBody> {
+    fn reject(&self, status: StatusCode, reason: &str) -> Response<ReplyBody> {
         self.usage.refused.fetch_add(1, Ordering::Relaxed);
-        reply::refusal(status, "platform", why, Some(RETRY_AFTER_S))
+        reply::rejection(status, "platform", reason, Some(RETRY_AFTER_S))
     }
 }
 
 impl RequestHandler for PlatformStandin {
     async fn handle(&self, request: Request<Incoming>, _peer: SocketAddr) -> Response<ReplyBody> {
         let (parts, body) = request.into_parts();
-        let body = match read_body_or_refuse(body).await {
+        let body = match read_body_or_reject(body).await {
             Ok(body) => body,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         self.usage.bytes_in.fetch_add(body.len() as u64, Ordering::Relaxed);
         let response = self.route(&parts.method, parts.uri.path(), parts.uri.query(), body).await;
@@ -342,10 +342,10 @@
     }
 }
 
-fn not_found() -> Response<ReplyBody> {
-    reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such row or route", None)
+fn not_found_response() -> Response<ReplyBody> {
+    reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such row or route", None)
 }
 
-fn lose_this_reply(percent: u8) -> bool {
+fn should_lose_reply(percent: u8) -> bool {
     percent > 0 && fastrand::u8(0..100) < percent
 }
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -7,11 +7,11 @@
 
 /// The stored objects, by name.
 #[derive(Debug, Default)]
-pub struct ObjectShelf {
+pub struct ObjectStore {
     objects: BTreeMap<String, Bytes>,
 }
 
-impl ObjectShelf {
+impl ObjectStore {
     /// Stores `body` under `name`, replacing what was there.
     pub fn put(&mut self, name: &str, body: Bytes) {
         self.objects.insert(name.to_owned(), body);
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -44,7 +44,7 @@
     /// key.
     pub fn list(&self, table: &str, from: &str, limit: usize) -> RowList {
         let rows =
-            self.of_table(table, from).take(limit).map(|stored| stored.row.clone()).collect();
+            self.rows_from(table, from).take(limit).map(|stored| stored.row.clone()).collect();
         RowList { now_ms: self.now_ms(), rows }
     }
 
@@ -55,7 +55,7 @@
             return None;
         }
         let rows = self
-            .of_table(table, "")
+            .rows_from(table, "")
             .filter(|stored| stored.generation > after)
             .map(|stored| stored.row.clone())
             .collect();
@@ -65,8 +65,8 @@
     /// Applies `write` if the row is still at `write.expect_version`;
     /// returns the new row or the conflict with the current version.
     pub fn put(&mut self, table: &str, key: &str, write: RowWrite) -> Result<Row, WriteConflict> {
-        let slot = (table.to_owned(), key.to_owned());
-        let current_version = self.rows.get(&slot).map_or(0, |stored| stored.row.version);
+        let row_key = (table.to_owned(), key.to_owned());
+        let current_version = self.rows.get(&row_key).map_or(0, |stored| stored.row.version);
         if current_version != write.expect_version {
             return Err(WriteConflict { current_version });
         }
@@ -77,7 +77,7 @@
             value: write.value,
         };
         self.generation += 1;
-        self.rows.insert(slot, StoredRow { generation: self.generation, row: row.clone() });
+        self.rows.insert(row_key, StoredRow { generation: self.generation, row: row.clone() });
         Ok(row)
     }
 
@@ -103,7 +103,7 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn of_table<'a>(
+    fn rows_from<'a>(
         &'a self,
         table: &str,
         from: &str,
--- a/crates/standin/tests/contracts.rs
+++ b/crates/standin/tests/contracts.rs
@@ -27,7 +27,7 @@
     /// 0: no answer within the client's timeout.
     status: u16,
     /// Text the body must contain.
-    says: &'static str,
+    body_contains: &'static str,
 }
 
 const GET: Method = Method::GET;
@@ -41,14 +41,14 @@
     path: &'static str,
     body: &'static str,
     status: u16,
-    says: &'static str,
+    body_contains: &'static str,
 ) -> CallCase {
-    CallCase { name, method, path, body, status, says }
+    CallCase { name, method, path, body, status, body_contains }
 }
 
 async fn serve<H: RequestHandler>(handler: H) -> String {
-    let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-    let (listener, local) = server::bind(any).await.unwrap();
+    let listen: SocketAddr = "127.0.0.1:0".parse().unwrap();
+    let (listener, local) = server::bind(listen).await.unwrap();
     pool::spawn(server::serve(listener, Arc::new(handler)));
     local.to_string()
 }
@@ -62,12 +62,12 @@
             continue;
         };
         let status = response.status().as_u16();
-        let body = match client.read_whole("contract", response).await {
+        let body = match client.read_full_body("contract", response).await {
             Ok(body) => String::from_utf8_lossy(&body).into_owned(),
             Err(error) => error.to_string(),
         };
         assert_eq!(status, case.status, "{}: {body}", case.name);
-        assert!(body.contains(case.says), "{}: {body}", case.name);
+        assert!(body.contains(case.body_contains), "{}: {body}", case.name);
     }
 }
 
@@ -134,20 +134,20 @@
 }
 
 #[test]
-fn platform_refuses_past_its_rate() {
+fn platform_rejects_calls_over_its_rate() {
     pool::block_on(async {
         let config = PlatformConfig { reads_per_second: 5, ..PlatformConfig::default() };
         let addr = serve(PlatformStandin::new(config)).await;
         let client = HttpClient::new(addr, Duration::from_secs(1));
-        let mut refused = 0;
+        let mut rejected = 0;
         for _ in 0..20 {
             let response = client.send("read", GET, "/v1/rows/t", None).await.unwrap();
             if response.status().as_u16() == 429 {
                 assert!(umberglade_wire::client::retry_after(&response).is_some());
-                refused += 1;
+                rejected += 1;
             }
         }
-        assert!(refused >= 10, "{refused} of 20 refused at 5 a second");
+        assert!(rejected >= 10, "{rejected} of 20 rejected at 5 a second");
     });
 }
 
@@ -197,7 +197,7 @@
         let engine = EngineStandin::new(EngineConfig::new("p", EngineRole::Prefill, "m"));
         let addr = serve(engine.clone()).await;
         check(&addr, vec![case("before", POST, "/v1/prefill", PREFILL, 200, "")]).await;
-        engine.run_empty().await;
+        engine.drain().await;
         let cases = vec![
             case("refused", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
             case("holds nothing", GET, "/v1/stats", "", 200, r#""held_requests":0"#),
--- a/crates/umberglade/src/standin.rs
+++ b/crates/umberglade/src/standin.rs
@@ -70,13 +70,13 @@
     pool::block_on(async move {
         let (listener, local) = bind(listen).await?;
         let engine = EngineStandin::new(config);
-        engine.listens_on(local);
+        engine.set_listen_addr(local);
         pool::spawn(server::serve(listener, Arc::new(engine.clone())));
         engine.register(InstanceState::Live).await;
         println!("listening on {local}");
         wait_for_stop().await;
         engine.register(InstanceState::Leaving).await;
-        engine.run_empty().await;
+        engine.drain().await;
         Ok(())
     })
 }
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -9,8 +9,8 @@
 use umberglade_wire::engine::EngineReport;
 use umberglade_wire::engine::EngineRole;
 use umberglade_wire::engine::OrderOperation;
-use umberglade_wire::platform::DUTY_TABLE;
-use umberglade_wire::platform::DutyRecord;
+use umberglade_wire::platform::LEADER_TABLE;
+use umberglade_wire::platform::LeaderRecord;
 
 use support::Link;
 use support::Process;
@@ -42,9 +42,9 @@
 
 /// The daemon that holds the duty, by the row.
 fn duty_holder(platform: &str) -> Option<String> {
-    let list = run(actions(platform).platform.list(DUTY_TABLE)).unwrap();
+    let list = run(actions(platform).platform.list(LEADER_TABLE)).unwrap();
     let row = list.rows.into_iter().next()?;
-    let record: DutyRecord = serde_json::from_value(row.value).unwrap();
+    let record: LeaderRecord = serde_json::from_value(row.value).unwrap();
     Some(record.holder)
 }
 
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -66,7 +66,7 @@
         body: Bytes,
     ) -> Result<Response<Incoming>, WireError> {
         let exchange = self.exchange(step, request, body);
-        within(step, &self.peer, self.timeout, exchange).await
+        with_timeout(step, &self.peer, self.timeout, exchange).await
     }
 
     /// Opens one connection to the peer, driven on the pool until it closes.
@@ -113,13 +113,13 @@
         let encoded =
             body.map(|value| Bytes::from(serde_json::to_vec(value).expect("serialising")));
         let response = self.send(step, method, path, encoded).await?;
-        let bytes = self.read_whole(step, response).await?;
+        let bytes = self.read_full_body(step, response).await?;
         serde_json::from_slice(&bytes).context(DecodeSnafu { step, peer: self.peer.as_str() })
     }
 
     /// Reads a whole response; a status outside 2xx becomes
     /// [`WireError::Status`] with the body and any `Retry-After`.
-    pub async fn read_whole(
+    pub async fn read_full_body(
         &self,
         step: &'static str,
         response: Response<Incoming>,
@@ -128,7 +128,7 @@
         let retry_after_s = retry_after(&response);
         let peer = self.peer.as_str();
         let body = async { response.into_body().collect().await.context(HttpSnafu { step, peer }) };
-        let bytes = within(step, peer, self.timeout, body).await?.to_bytes();
+        let bytes = with_timeout(step, peer, self.timeout, body).await?.to_bytes();
         if !status.is_success() {
             return Err(WireError::Status {
                 step,
@@ -143,7 +143,7 @@
 }
 
 /// `exchange`, or [`WireError::Timeout`] once `timeout` has passed.
-pub(crate) async fn within<T>(
+pub(crate) async fn with_timeout<T>(
     step: &'static str,
     peer: &str,
     timeout: Duration,
--- a/crates/wire/src/kept.rs
+++ b/crates/wire/src/keep_alive.rs
@@ -12,13 +12,13 @@
 use snafu::ResultExt;
 
 use crate::client::HttpClient;
-use crate::client::within;
+use crate::client::with_timeout;
 use crate::error::HttpSnafu;
 use crate::error::WireError;
 
 /// A whole answer: its status and body.
 #[derive(Debug, Clone)]
-pub struct KeptReply {
+pub struct BufferedResponse {
     pub status: StatusCode,
     pub body: Bytes,
 }
@@ -30,15 +30,15 @@
 /// exchange is bounded by its own timeout, and whatever fails drops the
 /// connection, so the next exchange begins on a fresh one.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct KeepAliveClient {
     http: HttpClient,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl KeptClient {
+impl KeepAliveClient {
     /// A client for `peer` (`"127.0.0.1:7100"`), not connected yet.
     pub fn new(peer: impl Into<String>) -> Self {
-        KeptClient { http: HttpClient::new(peer, Duration::MAX), sender: None }
+        KeepAliveClient { http: HttpClient::new(peer, Duration::MAX), sender: None }
     }
 
     /// The peer's address.
@@ -53,7 +53,7 @@
         step: &'static str,
         path: &str,
         timeout: Duration,
-    ) -> Result<KeptReply, WireError> {
+    ) -> Result<BufferedResponse, WireError> {
         self.call(step, Method::GET, path, Bytes::new(), timeout).await
     }
 
@@ -65,8 +65,8 @@
         path: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<KeptReply, WireError> {
-        let kept = self.sender.take().filter(|sender| !sender.is_closed());
+    ) -> Result<BufferedResponse, WireError> {
+        let open_sender = self.sender.take().filter(|sender| !sender.is_closed());
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -74,8 +74,8 @@
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .expect("a request built from a valid path");
-        let exchange = exchange(&self.http, kept, step, request);
-        let (sender, reply) = within(step, &self.http.peer, timeout, exchange).await?;
+        let exchange = exchange(&self.http, open_sender, step, request);
+        let (sender, reply) = with_timeout(step, &self.http.peer, timeout, exchange).await?;
         self.sender = Some(sender);
         Ok(reply)
     }
@@ -83,17 +83,17 @@
 
 async fn exchange(
     http: &HttpClient,
-    kept: Option<SendRequest<Full<Bytes>>>,
+    open_sender: Option<SendRequest<Full<Bytes>>>,
     step: &'static str,
     request: Request<Full<Bytes>>,
-) -> Result<(SendRequest<Full<Bytes>>, KeptReply), WireError> {
+) -> Result<(SendRequest<Full<Bytes>>, BufferedResponse), WireError> {
     let peer = http.peer.as_str();
-    let mut sender = match kept {
+    let mut sender = match open_sender {
         Some(sender) => sender,
         None => http.connect(step).await?,
     };
     let response = sender.send_request(request).await.context(HttpSnafu { step, peer })?;
     let status = response.status();
     let body = response.into_body().collect().await.context(HttpSnafu { step, peer })?.to_bytes();
-    Ok((sender, KeptReply { status, body }))
+    Ok((sender, BufferedResponse { status, body }))
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -10,7 +10,7 @@
 pub mod engine;
 pub mod error;
 pub mod ids;
-pub mod kept;
+pub mod keep_alive;
 pub mod lines;
 pub mod plain;
 pub mod platform;
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -20,13 +20,13 @@
 
     /// A whole line that has already arrived, if there is one.
     pub fn buffered_line(&mut self) -> Option<Bytes> {
-        let at = self.buffer.iter().position(|byte| *byte == b'\n')?;
-        let line = self.buffer.split_to(at + 1);
-        Some(line.freeze().slice(..at))
+        let newline = self.buffer.iter().position(|byte| *byte == b'\n')?;
+        let line = self.buffer.split_to(newline + 1);
+        Some(line.freeze().slice(..newline))
     }
 
     /// Puts back a line that was just taken.
-    pub fn put_back(&mut self, line: Bytes) {
+    pub fn unread_line(&mut self, line: Bytes) {
         let rest = self.buffer.split();
         self.buffer.extend_from_slice(&line);
         self.buffer.extend_from_slice(b"\n");
--- a/crates/wire/src/plain.rs
+++ b/crates/wire/src/plain.rs
@@ -25,7 +25,7 @@
 
 /// What the service did.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
-pub struct PlainAnswer {
+pub struct PlainResponse {
     /// The service's receipt, e.g. a booking number.
     pub confirmation: String,
 }
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -128,13 +128,13 @@
 
 /// Every organisation, with its callers' API keys.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
-pub struct OrganisationBook {
+pub struct OrganisationRegistry {
     pub organisations: std::collections::BTreeMap<crate::ids::OrganisationId, OrganisationEntry>,
 }
 
 /// Backend servers that operators have drained: no new work goes there.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
-pub struct DrainBook {
+pub struct DrainRegistry {
     pub servers: std::collections::BTreeMap<ServerId, DrainOrder>,
 }
 
@@ -197,9 +197,9 @@
 /// The table of [`MemberRecord`]s, keyed by daemon id.
 pub const MEMBERS_TABLE: &str = "members";
 /// The table of the duty lease: one [`DutyRecord`] under [`DUTY_KEY`].
-pub const DUTY_TABLE: &str = "duty";
+pub const LEADER_TABLE: &str = "duty";
 /// The one row of [`DUTY_TABLE`].
-pub const DUTY_KEY: &str = "holder";
+pub const LEADER_KEY: &str = "holder";
 /// The [`RoleOrderBook`] row of [`CONTROL_TABLE`].
 pub const ROLE_ORDERS_KEY: &str = "role-orders";
 
@@ -222,14 +222,14 @@
 /// Who may send orders that change servers; the row's version is the
 /// fencing number of those orders.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
-pub struct DutyRecord {
+pub struct LeaderRecord {
     pub holder: DaemonId,
     pub incarnation: u64,
 }
 
 /// What operators want servers to be; the holder of the duty sees to it.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
-pub struct RoleOrderBook {
+pub struct RoleOrderRegistry {
     pub servers: std::collections::BTreeMap<ServerId, RoleOrder>,
 }
 
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -26,11 +26,11 @@
 /// A JSON response with `status` and the serialised `value`.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<ReplyBody> {
     let body = serde_json::to_vec(value).expect("serialising a reply never fails");
-    whole(status, "application/json", Bytes::from(body))
+    full(status, "application/json", Bytes::from(body))
 }
 
 /// A response carrying `body` whole, with the given content type.
-pub fn whole(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<ReplyBody> {
+pub fn full(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<ReplyBody> {
     let mut response = Response::new(Either::Left(Full::new(body)));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
@@ -39,7 +39,7 @@
 
 /// A JSON error body `{"error": {"message", "type"}}` in the OpenAI shape,
 /// with `Retry-After` when the caller should come back later.
-pub fn refusal(
+pub fn rejection(
     status: StatusCode,
     kind: &str,
     message: &str,
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -92,23 +92,23 @@
             Err(error) => Err(format!("reading the request body: {error}")),
         }
     };
-    let late = async {
+    let timed_out = async {
         smol::Timer::after(BODY_READ_TIMEOUT).await;
         Err(format!("the request body did not arrive within {BODY_READ_TIMEOUT:?}"))
     };
-    read.or(late).await
+    read.or(timed_out).await
 }
 
 /// Like [`read_body`] for a stand-in: the error is the 400 to answer.
-pub async fn read_body_or_refuse(body: Incoming) -> Result<Bytes, Response<ReplyBody>> {
+pub async fn read_body_or_reject(body: Incoming) -> Result<Bytes, Response<ReplyBody>> {
     read_body(body).await.map_err(|message| bad_request(&message))
 }
 
 /// The JSON value in `body`; the error is the 400 to answer.
-pub fn parse_or_refuse<T: DeserializeOwned>(body: &[u8]) -> Result<T, Response<ReplyBody>> {
+pub fn parse_or_reject<T: DeserializeOwned>(body: &[u8]) -> Result<T, Response<ReplyBody>> {
     serde_json::from_slice(body).map_err(|error| bad_request(&error.to_string()))
 }
 
 fn bad_request(message: &str) -> Response<ReplyBody> {
-    reply::refusal(StatusCode::BAD_REQUEST, "bad_request", message, None)
+    reply::rejection(StatusCode::BAD_REQUEST, "bad_request", message, None)
 }
