--- a/crates/standin/src/engine/config.rs
+++ b/crates/standin/src/engine/config.rs
@@ -8,53 +8,54 @@
 use umberglade_wire::ids::RegionName;
 use umberglade_wire::ids::ServerId;
 
-/// Requests a decode server's memory holds at once ("about twenty").
+/// The number of requests that fit in the memory of a decode server at once ("about twenty").
 pub const DEFAULT_SLOTS: u32 = 20;
 
-/// How an engine stand-in behaves.
+/// The settings of one engine stand-in.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
     pub server: ServerId,
-    /// The role it starts in; an order may change it.
+    /// The initial role; an order may change it.
     pub role: EngineRole,
     pub model: ModelName,
     pub domain: DomainName,
     pub region: RegionName,
-    /// `host:port` of the platform whose instance list it enters, if any.
+    /// The `host:port` of the platform in whose instance list it registers, if any.
     pub register_with: Option<String>,
-    /// Requests held at once; more are refused with 503.
+    /// The number of requests admitted at once; more are rejected with 503.
     pub slots: u32,
-    /// Prefill time per computed prompt token.
+    /// The prefill time per computed prompt token.
     pub prefill_per_token: Duration,
-    /// Prompt tokens computed before a more urgent prompt may go first.
+    /// The number of prompt tokens in a prefill chunk. A more urgent prompt can start only between
+    /// chunks.
     pub prefill_chunk_tokens: u32,
-    /// Time of a decode step of one request alone.
+    /// The time of a decode step with a single request.
     pub decode_per_token: Duration,
-    /// What each further request in the batch adds to a step.
+    /// The time that each further request in the batch adds to a decode step.
     pub decode_per_batched_request: Duration,
-    /// How long a computed prefix stays in the prefix cache ("under a second").
+    /// How long a prefix stays in the prefix cache after its last use ("under a second").
     pub prefix_ttl: Duration,
-    /// Tokens the prefix cache holds; the least recently used yield.
+    /// The capacity of the prefix cache in tokens; the least recently used prefix is evicted first.
     pub prefix_capacity_tokens: u64,
-    /// Bytes of KV cache per prompt token (scaled down for loopback).
+    /// The bytes of KV cache per prompt token, scaled down for the loopback interface.
     pub kv_bytes_per_token: u64,
-    /// Rate of the link KV caches are fetched over, bytes a second.
+    /// The bandwidth of the link for KV cache transfers, in bytes per second.
     pub link_bytes_per_second: u64,
-    /// How old a load report may be.
+    /// The maximum age of a load report.
     pub load_lag: Duration,
-    /// How late cache events are published.
+    /// The delay with which cache events are published.
     pub event_lag: Duration,
-    /// How long loading weights takes (the weight store is rate-limited).
+    /// How long loading the weights of a model takes (the weight store is rate-limited).
     pub weight_load: Duration,
-    /// How long a change of role takes once work in hand is done.
+    /// How long a change of role takes when no request is in flight any more.
     pub role_switch: Duration,
-    /// Whether orders with an old fencing number are refused (409) or
-    /// obeyed anyway, as some deployments' engines do.
+    /// Whether orders with an old fencing token are rejected with 409. When false they are
+    /// executed, as by the engines of some deployments.
     pub checks_fence: bool,
 }
 
 impl EngineConfig {
-    /// Defaults for a server `server` of `role` serving `model`.
+    /// Returns the default settings for the server `server` that serves `model` in `role`.
     pub fn new(server: impl Into<ServerId>, role: EngineRole, model: impl Into<ModelName>) -> Self {
         EngineConfig {
             server: server.into(),
--- a/crates/standin/src/engine/decode.rs
+++ b/crates/standin/src/engine/decode.rs
@@ -1,5 +1,5 @@
-//! Decode on an engine stand-in: fetches the KV cache, then streams tokens
-//! at the pace of its batch.
+//! Decode on an engine stand-in: fetches the KV cache, then streams tokens at a rate that depends
+//! on the size of the batch.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -26,11 +26,11 @@
 use super::STALL_DURATION;
 use super::SlotGuard;
 
-/// Timeout for fetching a KV cache from a prefill server.
+/// The timeout for fetching a KV cache from a prefill server.
 const KV_FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The text of token `index` of the answer for `seed`: what a test
-/// expects a caller to receive.
+/// Returns the text of token `index` of the response for `seed`, as tests expect callers to receive
+/// it.
 pub fn answer_token(seed: u64, index: u32) -> String {
     let word =
         umberglade_wire::digest(&[seed.to_le_bytes(), u64::from(index).to_le_bytes()].concat());
@@ -59,10 +59,10 @@
         response
     }
 
-    /// Generates until the answer is whole, the request is cancelled, its
-    /// reader is gone or its deadline has passed. The deadline bounds what
-    /// a daemon that froze or was cut off can hold: its socket stays open
-    /// and takes no more lines, so nothing else would end the stream.
+    /// Generates tokens until the response is complete, the request is cancelled, the connection is
+    /// closed or the deadline has passed. The deadline frees requests of a daemon that hangs or is
+    /// disconnected: its socket stays open and accepts no more data, so nothing else would end the
+    /// stream.
     async fn generate(
         &self,
         order: DecodeOrder,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The time of one decode step in the batch as it is now.
+    /// Returns the time of one decode step at the current batch size.
     fn step_time(&self) -> Duration {
         let running =
             self.shared.state.lock().expect("engine state lock").active_requests.len() as u32;
@@ -124,7 +124,8 @@
     limit > 0 && generated >= limit
 }
 
-/// Sends token `index`, with the line faults asked for.
+/// Sends token `index`, with the crossed or duplicate lines that `faults` injects. Returns false
+/// when the connection is closed.
 async fn send_token(
     sender: &ChunkSender,
     order: &DecodeOrder,
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,11 +1,11 @@
 //! The engine stand-in: a prefill or decode server of the engine protocol
 //! ([`umberglade_wire::engine`]).
 //!
-//! It holds at most `slots` requests, computes prefill at a cost per
-//! token less what its prefix cache already has, exports KV caches that
-//! are evicted if not fetched in time, streams tokens at the pace of its
-//! batch, obeys cancels and orders, reports its load late, and refuses old
-//! fencing numbers when so configured.
+//! It admits at most `slots` requests at once. Prefill takes a fixed time per prompt token that is
+//! not in the prefix cache. Exported KV caches are evicted when they are not fetched in time.
+//! Tokens are streamed at a rate that depends on the size of the batch. Load reports are out of
+//! date. Cancel and engine orders are executed, and old fencing tokens are rejected if so
+//! configured.
 
 mod config;
 mod decode;
@@ -56,14 +56,14 @@
 use self::state::ActiveRequest;
 use self::state::EngineState;
 
-/// Seconds a refused caller is told to wait.
+/// The `Retry-After` of rejections, in seconds.
 const RETRY_AFTER_S: u64 = 1;
-/// How long an injected silence lasts: longer than any timeout.
+/// How long an injected stall lasts: longer than any timeout of a daemon.
 const STALL_DURATION: Duration = Duration::from_secs(60);
-/// Bound on entering the platform's instance list.
+/// The timeout for registering in the instance list of the platform.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An engine stand-in; cheap to clone, all clones share one state.
+/// An engine stand-in. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct EngineStandin {
     shared: Arc<EngineShared>,
@@ -73,22 +73,21 @@
 struct EngineShared {
     config: EngineConfig,
     started: Instant,
-    /// Where it listens, once known.
+    /// The address on which it listens, once known.
     addr: OnceLock<SocketAddr>,
-    /// Lock order: `state` before `load`; never the other way.
+    /// Lock order: `state` before `load`.
     state: Mutex<EngineState>,
-    /// The last load report and when it was taken; refreshed only after
-    /// `load_lag`, so readers see old figures as real engines give them.
+    /// The last load report and when it was taken. It is refreshed only after `load_lag`, so that
+    /// readers get figures that are out of date, as from real engines.
     load: Mutex<Option<(Instant, LoadReport)>>,
     /// Notified when the prefill queue changes.
     prefill_queue_changed: Event,
-    /// KV transfers leave one after another.
+    /// Held during a KV cache transfer, so that transfers run one after another.
     link: smol::lock::Mutex<()>,
 }
 
-/// Removes its request from the held table when dropped, whether the
-/// worker finished, failed or its caller went away: the memory a request
-/// holds is freed on every path out of its worker.
+/// Removes its request from the active requests when dropped, so that the memory of the request is
+/// freed whether its worker completes, fails or loses its caller.
 struct SlotGuard {
     shared: Arc<EngineShared>,
     request_id: RequestId,
@@ -102,7 +101,7 @@
 }
 
 impl EngineStandin {
-    /// A stand-in with `config`, holding nothing yet.
+    /// Creates a stand-in with `config` and without requests.
     pub fn new(config: EngineConfig) -> Self {
         let shared = EngineShared {
             state: Mutex::new(EngineState::new(&config)),
@@ -116,13 +115,13 @@
         EngineStandin { shared: Arc::new(shared) }
     }
 
-    /// Tells the stand-in where it listens, for the instance list.
+    /// Sets the address on which the stand-in listens, for the instance list.
     pub fn set_listen_addr(&self, addr: SocketAddr) {
         let _ = self.shared.addr.set(addr);
     }
 
-    /// Enters the engine, as it is now, in the platform's instance list;
-    /// nothing to do when it has no platform or address.
+    /// Registers the engine with its current role and model in the platform's instance list. Does
+    /// nothing when no platform is configured or the listen address is unknown.
     pub async fn register(&self, instance_state: InstanceState) {
         let config = &self.shared.config;
         let (Some(platform), Some(addr)) = (&config.register_with, self.shared.addr.get()) else {
@@ -144,12 +143,12 @@
         register(platform, &entry).await;
     }
 
-    /// Refuses new work from now on, and waits until the engine holds no
-    /// request: a planned stop cuts nothing in flight.
+    /// Rejects new work from now on and waits until no request is in flight, so that a planned stop
+    /// does not interrupt requests.
     ///
-    /// Guards against a stop that never ends, or cuts a request: under load
-    /// there is seldom a moment without work, and a request may come between
-    /// such a moment and the end of the process.
+    /// Without the rejection, a stop might never end or might interrupt a request: under load there
+    /// is seldom a moment without work, and a request may arrive between such a moment and the end
+    /// of the process.
     pub async fn drain(&self) {
         self.shared.state.lock().expect("engine state lock").leaving = true;
         while !self.shared.state.lock().expect("engine state lock").active_requests.is_empty() {
@@ -157,12 +156,12 @@
         }
     }
 
-    /// This stand-in's settings.
+    /// Returns the settings of this stand-in.
     pub fn config(&self) -> &EngineConfig {
         &self.shared.config
     }
 
-    /// Injects `faults` from now on.
+    /// Replaces the injected faults by `faults`.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.state.lock().expect("engine state lock").faults = faults;
     }
@@ -203,8 +202,8 @@
         Ok(response)
     }
 
-    /// Like [`EngineStandin::route`], but the work goes on when the caller
-    /// of this future goes away.
+    /// Routes a request like [`EngineStandin::route`], but in a task of its own that continues when
+    /// this future is dropped.
     async fn route_detached(
         &self,
         method: &Method,
@@ -218,11 +217,11 @@
         pool::spawn(async move {
             let _ = sender.send(engine.route(&method, &path, &query, body).await).await;
         });
-        receiver.recv().await.expect("the detached route always answers")
+        receiver.recv().await.expect("the detached route always sends a response")
     }
 
-    /// Admits `request_id` if this engine serves `role`, a slot is free and
-    /// `fence` is not stale; returns the guard that frees it, or the refusal.
+    /// Admits `request_id` if this engine serves `role`, a slot is free and `fence` is not stale.
+    /// Returns the guard that frees the slot and the flag that a cancel sets, or the rejection.
     fn admit(
         &self,
         request_id: &RequestId,
@@ -339,7 +338,7 @@
     }
 }
 
-/// Enters `entry` in the instance list of the platform at `platform`.
+/// Registers `entry` in the instance list of the platform at the address `platform`.
 pub async fn register(platform: &str, entry: &InstanceEntry) {
     let client = HttpClient::new(platform, REGISTER_TIMEOUT);
     let path = format!("/v1/instances/{}", entry.server);
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that change what an engine stand-in is: weights, adapters, role.
+//! Orders that change the weights, the adapters or the role of an engine stand-in.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -17,13 +17,14 @@
 use super::EngineStandin;
 use super::STALL_DURATION;
 
-/// Longest a change of role waits for work in hand.
+/// The longest time that a change of role waits for requests in flight.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
-/// How often it looks whether that work is done.
+/// How often a change of role checks whether those requests are done.
 const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl EngineStandin {
-    /// Takes `order`, or leaves it unanswered and carries it out late.
+    /// Accepts or rejects `order`. With the fault `late_order_ms` the order gets no response and is
+    /// accepted after that delay.
     pub(super) async fn order(&self, order: EngineOrder) -> Response<ReplyBody> {
         let delay = Duration::from_millis(self.faults().late_order_ms);
         if !delay.is_zero() {
@@ -41,8 +42,7 @@
         }
     }
 
-    /// Checks `order` against fence and sequence as they are now, and
-    /// begins to carry it out.
+    /// Checks `order` against the current fencing token and sequence, and starts to execute it.
     fn accept(&self, order: EngineOrder) -> Result<OrderReply, Response<ReplyBody>> {
         let mut state = self.shared.state.lock().expect("engine state lock");
         if self.shared.config.checks_fence && order.fence < state.highest_order_fence {
@@ -89,7 +89,8 @@
         self.register(InstanceState::Live).await;
     }
 
-    /// Waits until no request is held: a change of role cuts nothing.
+    /// Waits until no request is in flight, at most [`DRAIN_TIMEOUT`], so that a change of role
+    /// does not interrupt requests.
     async fn wait_until_idle(&self) {
         let deadline = Instant::now() + DRAIN_TIMEOUT;
         while Instant::now() < deadline {
--- a/crates/standin/src/engine/prefill.rs
+++ b/crates/standin/src/engine/prefill.rs
@@ -1,5 +1,5 @@
-//! Prefill on an engine stand-in: prompts computed one at a time in chunks,
-//! urgent ones first, then exported for a decode server to fetch.
+//! Prefill on an engine stand-in: computes prompts in chunks, one chunk at a time and urgent
+//! prompts first, then exports their KV caches for decode servers to fetch.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -22,12 +22,12 @@
 use super::state::KvExport;
 use super::state::PrefillTicket;
 
-/// A place in the prefill queue, given up when dropped: a caller that goes
-/// away mid-prefill never blocks the prompts behind it.
+/// An entry of the prefill queue, removed when dropped, so that a caller that disconnects during
+/// its prefill does not block the prompts behind it.
 struct QueueEntry {
     shared: Arc<EngineShared>,
     ticket: PrefillTicket,
-    /// Prompt tokens still to compute.
+    /// The number of prompt tokens that are not computed yet.
     remaining: u32,
 }
 
@@ -47,7 +47,7 @@
         state.prefill_queue.first() == Some(&self.ticket)
     }
 
-    /// Waits until this prompt is the first in the queue.
+    /// Waits until this prompt is at the head of the queue.
     async fn wait_for_turn(&self) {
         while !self.is_at_head() {
             let changed = self.shared.prefill_queue_changed.listen();
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Counts `tokens` as computed.
+    /// Counts `tokens` as computed, in this entry and in the statistics.
     fn record_computed(&mut self, tokens: u32) {
         self.remaining -= tokens;
         let mut state = self.shared.state.lock().expect("engine state lock");
@@ -86,8 +86,8 @@
         reply::json(StatusCode::OK, &reply)
     }
 
-    /// Computes `tokens` of the prompt in chunks; the refusal when it was
-    /// cancelled or ran past its deadline, its work counted as wasted.
+    /// Computes `tokens` of the prompt in chunks. When the request is cancelled or past its
+    /// deadline, counts the computed tokens as wasted and returns the rejection.
     async fn compute(
         &self,
         order: &PrefillOrder,
@@ -173,8 +173,8 @@
         }
     }
 
-    /// Sends an exported KV cache over the server's one link; an export
-    /// can be taken once.
+    /// Sends an exported KV cache over the only link of the server, one transfer at a time. An
+    /// export can be fetched once.
     pub(super) async fn fetch_kv(&self, handle: &str) -> Response<ReplyBody> {
         if self.faults().stall_kv {
             smol::Timer::after(STALL_DURATION).await;
--- a/crates/standin/src/engine/prefix_cache.rs
+++ b/crates/standin/src/engine/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache of an engine stand-in: limited memory, entries gone
-//! under a second after their last use, and the events that tell of it.
+//! The prefix cache of an engine stand-in: entries expire under a second after their last use, the
+//! memory is limited, and events report each change.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,9 +9,9 @@
 use umberglade_wire::engine::CacheEvent;
 use umberglade_wire::engine::CacheEventPage;
 
-/// Events kept for readers; older ones are lost.
+/// The maximum number of events retained for readers; older ones are dropped.
 const MAX_RETAINED_EVENTS: usize = 256;
-/// Every so-manieth event never appears: real engines leave gaps.
+/// One of this many events is never published, as real engines leave gaps too.
 const DROPPED_EVENT_INTERVAL: u64 = 16;
 
 #[derive(Debug)]
@@ -26,7 +26,7 @@
     event: CacheEvent,
 }
 
-/// Prefixes whose KV cache the engine still has.
+/// The prefixes whose KV cache the engine has.
 #[derive(Debug)]
 pub struct PrefixCache {
     ttl: Duration,
@@ -34,12 +34,12 @@
     event_lag: Duration,
     prefixes: HashMap<u64, CachedPrefix>,
     next_sequence: u64,
-    /// Invariant: sequences grow from front to back.
+    /// Invariant: sequence numbers grow from front to back.
     events: Vec<PublishedEvent>,
 }
 
 impl PrefixCache {
-    /// An empty cache whose entries live `keep` after their last use.
+    /// Creates an empty cache whose entries expire `ttl` after their last use.
     pub fn new(ttl: Duration, capacity_tokens: u64, event_lag: Duration) -> Self {
         PrefixCache {
             ttl,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tokens of `prefix_hash` that need no computing now; touches it.
+    /// Returns the number of cached tokens of `prefix_hash` and marks the prefix as used.
     pub fn lookup(&mut self, prefix_hash: u64, now: Instant) -> u32 {
         self.evict_expired(now);
         match self.prefixes.get_mut(&prefix_hash) {
@@ -63,7 +63,8 @@
         }
     }
 
-    /// Keeps `tokens` of `prefix_hash`; the least recently used yield.
+    /// Adds `tokens` of `prefix_hash`, and evicts the least recently used prefixes until the cache
+    /// is within its capacity or has one prefix left.
     pub fn insert(&mut self, prefix_hash: u64, tokens: u32, now: Instant) {
         self.evict_expired(now);
         let previous = self.prefixes.insert(prefix_hash, CachedPrefix { tokens, last_used: now });
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The events after `since` that are published by now.
+    /// Returns the events after `since` that are published by `now`.
     pub fn events_since(&self, since: u64, now: Instant) -> CacheEventPage {
         let published: Vec<CacheEvent> = self
             .events
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,5 +1,5 @@
-//! What an engine stand-in holds: requests, exported KV caches, the prefix
-//! cache, and what it has become by orders.
+//! The state of an engine stand-in: requests, exported KV caches, the prefix cache, and the role,
+//! model and adapters that orders have set.
 
 use std::collections::BTreeSet;
 use std::collections::HashMap;
@@ -19,59 +19,59 @@
 use super::EngineConfig;
 use super::prefix_cache::PrefixCache;
 
-/// A request that holds engine memory.
+/// An admitted request, which occupies engine memory.
 #[derive(Debug, Clone)]
 pub struct ActiveRequest {
     /// Set by a cancel order; the worker stops at its next step.
     pub cancelled: Arc<AtomicBool>,
 }
 
-/// A computed KV cache waiting to be fetched by a decode server.
+/// A computed KV cache that a decode server can fetch.
 #[derive(Debug, Clone)]
 pub struct KvExport {
     pub request_id: RequestId,
     pub computed_tokens: u32,
     pub bytes: u64,
-    /// After this the export is evicted and its prefill is wasted.
+    /// When the export is evicted, and its prefill counts as wasted.
     pub expires: Instant,
 }
 
-/// A place in the prefill queue: urgent first, then in order of arrival.
+/// The position of a prompt in the prefill queue: urgent prompts first, then in order of arrival.
 pub type PrefillTicket = (Priority, u64);
 
-/// Everything behind the engine's one lock.
+/// The state that the engine's `state` lock protects.
 #[derive(Debug)]
 pub struct EngineState {
-    /// Invariant: a request is here exactly while a worker runs for it.
+    /// Invariant: a request is in the map exactly while a worker runs for it.
     pub active_requests: HashMap<RequestId, ActiveRequest>,
     pub exports: HashMap<KvHandle, KvExport>,
     pub cache: PrefixCache,
-    /// Prompts being computed or waiting; the first computes.
+    /// The prompts that are being computed or waiting; the first one is being computed.
     pub prefill_queue: BTreeSet<PrefillTicket>,
     pub next_ticket: u64,
-    /// Prompt tokens admitted and not yet computed.
+    /// The number of prompt tokens admitted and not yet computed.
     pub queued_tokens: u64,
     pub next_handle: KvHandle,
-    /// The highest fencing number seen on requests; only grows.
+    /// The highest fencing token received in prefill and decode orders; only grows.
     pub highest_fence: Fence,
-    /// The highest fencing number seen on orders; only grows.
+    /// The highest fencing token of accepted engine orders; only grows.
     pub highest_order_fence: Fence,
     pub role: EngineRole,
     pub model: ModelName,
     pub version: u32,
     pub adapters: Vec<String>,
-    /// An order is being carried out: new work is refused meanwhile.
+    /// True while an order is being executed; new work is rejected meanwhile.
     pub busy: bool,
-    /// A planned stop has begun: new work is refused for good.
+    /// True once a planned stop has started; new work is rejected until the process stops.
     pub leaving: bool,
-    /// Orders accepted since the start.
+    /// The number of engine orders accepted since the start.
     pub order_sequence: u64,
     pub faults: EngineFaults,
     pub stats: EngineStats,
 }
 
 impl EngineState {
-    /// The state of an engine that has just started with `config`.
+    /// Creates the state of an engine that has just started with `config`.
     pub fn new(config: &EngineConfig) -> Self {
         EngineState {
             active_requests: HashMap::new(),
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Evicts expired exports, counting their prefill as wasted.
+    /// Evicts expired exports and counts their prefill as wasted.
     pub fn evict_expired_exports(&mut self, now: Instant) {
         let expired: Vec<KvHandle> = self
             .exports
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The figures of [`EngineStats`] as they are now.
+    /// Returns the current [`EngineStats`].
     pub fn snapshot(&self) -> EngineStats {
         let mut stats = self.stats.clone();
         stats.held_requests = self.active_requests.len() as u32;
--- a/crates/standin/src/plain.rs
+++ b/crates/standin/src/plain.rs
@@ -1,6 +1,5 @@
-//! The plain-service stand-in: a booking-desk whose calls must not be
-//! repeated. It counts how often each idempotency key ran, so a test can
-//! prove "at most once".
+//! The plain-service stand-in: a booking-desk whose calls must not be retried. It counts how often
+//! each idempotency key ran, so that a test can check that an action ran at most once.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -22,20 +21,20 @@
 use umberglade_wire::server::parse_or_reject;
 use umberglade_wire::server::read_body_or_reject;
 
-/// How long one call takes.
+/// How long one call or lookup takes.
 const CALL_DURATION: Duration = Duration::from_millis(20);
 
-/// The path of lookups, which may be repeated.
+/// The path prefix of lookups, which are safe to retry.
 const LOOKUP_PREFIX: &str = "/v1/lookup/";
-/// How long a lost answer holds the connection: longer than any timeout.
+/// How long a call stalls when its response is lost: longer than any timeout of a caller.
 const STALL_DURATION: Duration = Duration::from_secs(60);
 
-/// A plain service; every call runs its action. Lock order: `faults`, then
-/// `runs`; no call holds both.
+/// A plain service that runs the action of every call. Lock order: `faults`, then `runs`; no call
+/// holds both.
 #[derive(Debug, Default)]
 pub struct PlainStandin {
     faults: Mutex<PlainFaults>,
-    /// Idempotency key → times it ran.
+    /// The number of runs of each idempotency key.
     runs: Mutex<HashMap<String, u32>>,
 }
 
@@ -69,7 +68,7 @@
         reply::json(StatusCode::OK, &PlainResponse { confirmation })
     }
 
-    /// Runs the action and returns its confirmation.
+    /// Counts a run of the action and returns its confirmation.
     fn run(&self, call: &PlainCall) -> String {
         let mut runs = self.runs.lock().expect("runs lock");
         *runs.entry(call.idempotency_key.clone()).or_default() += 1;
--- a/crates/standin/src/platform/instances.rs
+++ b/crates/standin/src/platform/instances.rs
@@ -1,4 +1,4 @@
-//! The instance list, which shows each change only after a lag.
+//! The instance list of the platform stand-in, which shows each change after a delay.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use umberglade_wire::platform::InstanceList;
 use umberglade_wire::platform::InstanceState;
 
-/// One change and when readers see it.
+/// One change of the list and the time from which it is visible.
 #[derive(Debug)]
 struct InstanceChange {
     visible_from: Instant,
     entry: InstanceEntry,
 }
 
-/// The list: every change in the order it was made. Since the lag is the
-/// same for all, they become visible in that order too.
+/// The instance list, stored as all its changes in the order in which they were made. The lag is
+/// the same for every change, so they become visible in that order too.
 #[derive(Debug)]
 pub struct InstanceRegistry {
     lag: Duration,
@@ -25,25 +25,25 @@
 }
 
 impl InstanceRegistry {
-    /// A list whose changes show `lag` after they are made.
+    /// Creates an empty list whose changes become visible `lag` after they are made.
     pub fn new(lag: Duration) -> Self {
         InstanceRegistry { lag, changes: Vec::new() }
     }
 
-    /// Records `entry`; readers see it once the lag has passed.
+    /// Adds or changes `entry`, visible after the lag.
     pub fn set(&mut self, entry: InstanceEntry) {
         let visible_from = Instant::now() + self.lag;
         self.changes.push(InstanceChange { visible_from, entry });
     }
 
-    /// How many changes are visible now.
+    /// Returns the number of changes that are visible now.
     pub fn generation(&self) -> u64 {
         let now = Instant::now();
         self.changes.partition_point(|change| change.visible_from <= now) as u64
     }
 
-    /// What changed after generation `after`; the whole list when `after`
-    /// is 0 or beyond what this copy of the list has seen.
+    /// Returns the visible changes after generation `after`, or the full list when `after` is 0 or
+    /// a generation that this copy of the list has not reached.
     pub fn visible_since(&self, after: u64) -> InstanceList {
         let generation = self.generation();
         let delta = after > 0 && after <= generation;
--- a/crates/standin/src/platform/mod.rs
+++ b/crates/standin/src/platform/mod.rs
@@ -1,11 +1,9 @@
-//! The platform stand-in: a transactional table service with conditional
-//! writes and a feed of changes, an object store, and the lagging list of
-//! live and leaving instances.
+//! The platform stand-in: a transactional table service with conditional writes and a change feed,
+//! an object store, and a list of live and leaving instances that shows changes after a delay.
 //!
-//! It refuses past its rates (429), answers 503 during an injected outage,
-//! can be slowed, can fall silent, and can lose the reply to a write that
-//! took effect (it then holds the connection silent until the caller's
-//! timeout).
+//! It rejects calls over its rate limits with 429 and calls during an injected outage with 503. It
+//! can also delay responses, stall, and lose the reply to a write that took effect: the connection
+//! then stalls until the caller times out.
 
 mod instances;
 mod objects;
@@ -49,16 +47,16 @@
 pub use self::table::RowTable;
 use crate::rate::RateWindow;
 
-/// Writes a second the platform's table service takes ("several hundred").
+/// The number of writes per second that the platform accepts ("several hundred").
 pub const DEFAULT_WRITES_PER_SECOND: u32 = 400;
-/// Reads a second it takes ("about two thousand").
+/// The number of reads per second that the platform accepts ("about two thousand").
 pub const DEFAULT_READS_PER_SECOND: u32 = 2000;
-/// How long a lost reply holds the connection silent.
+/// How long a call stalls when its reply is lost or the stand-in is set to be silent.
 const LOST_REPLY_DELAY: Duration = Duration::from_secs(30);
-/// How often a held instance feed looks again: the list's lag makes
-/// changes visible by time alone, so no write can wake it.
+/// How often a long poll of the instance list checks for changes. They become visible by the
+/// passage of time (the lag of the list), so no write can wake the poll.
 const INSTANCE_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Seconds a refused caller is told to wait.
+/// The `Retry-After` of rejections, in seconds.
 const RETRY_AFTER_S: u64 = 1;
 
 /// Settings of the platform stand-in.
@@ -66,7 +64,7 @@
 pub struct PlatformConfig {
     pub reads_per_second: u32,
     pub writes_per_second: u32,
-    /// How far the instance list lags behind changes.
+    /// The time after which a change is visible in the instance list.
     pub instance_lag: Duration,
 }
 
@@ -80,8 +78,8 @@
     }
 }
 
-/// The stand-in's state. Lock order: `faults`, then `table`, then
-/// `instances`, then `objects`; no call holds two at once.
+/// The platform stand-in. Lock order: `faults`, `table`, `instances`, `objects`; no call holds two
+/// locks at once.
 #[derive(Debug)]
 pub struct PlatformStandin {
     table: Mutex<RowTable>,
@@ -105,7 +103,7 @@
 }
 
 impl PlatformStandin {
-    /// A stand-in with empty tables.
+    /// Creates a stand-in with empty tables.
     pub fn new(config: PlatformConfig) -> Self {
         PlatformStandin {
             table: Mutex::new(RowTable::default()),
@@ -193,7 +191,8 @@
             _ => not_found_response(),
         };
         if is_write && should_lose_reply(faults.lose_reply_percent) {
-            // Done or refused as a conflict; the caller never hears of it.
+            // The write took effect or met a conflict, but the caller gets no reply before its
+            // timeout.
             smol::Timer::after(LOST_REPLY_DELAY).await;
         }
         response
@@ -233,8 +232,8 @@
         }
     }
 
-    /// Rows of `table` after the generation asked for, held open up to the
-    /// wait asked for while there are none.
+    /// Returns the rows of `table` after the requested generation, as a long poll: while there are
+    /// none, waits up to the requested time.
     async fn feed(&self, table: &str, query: &CallQuery) -> Response<ReplyBody> {
         let deadline = Instant::now() + query.wait();
         loop {
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -1,4 +1,4 @@
-//! The object store: raw bytes under names.
+//! The object store of the platform stand-in, which maps names to raw bytes.
 
 use std::collections::BTreeMap;
 
@@ -12,22 +12,22 @@
 }
 
 impl ObjectStore {
-    /// Stores `body` under `name`, replacing what was there.
+    /// Stores `body` under `name`, replacing any object there.
     pub fn put(&mut self, name: &str, body: Bytes) {
         self.objects.insert(name.to_owned(), body);
     }
 
-    /// The object under `name`.
+    /// Returns the object under `name`.
     pub fn get(&self, name: &str) -> Option<Bytes> {
         self.objects.get(name).cloned()
     }
 
-    /// Drops the object under `name`; true when there was one.
+    /// Removes the object under `name`. Returns true when there was one.
     pub fn remove(&mut self, name: &str) -> bool {
         self.objects.remove(name).is_some()
     }
 
-    /// Names that begin with `prefix`, sorted.
+    /// Returns the names that start with `prefix`, sorted.
     pub fn list(&self, prefix: &str) -> ObjectList {
         let names = self.objects.keys().filter(|name| name.starts_with(prefix)).cloned().collect();
         ObjectList { names }
--- a/crates/standin/src/platform/query.rs
+++ b/crates/standin/src/platform/query.rs
@@ -1,13 +1,13 @@
-//! The query parameters of the platform's calls.
+//! The query parameters of calls to the platform stand-in.
 
 use std::time::Duration;
 
 use percent_encoding::percent_decode_str;
 
-/// Longest a feed is held open while nothing changes.
+/// The longest time that a long poll waits for a change.
 const MAX_FEED_WAIT: Duration = Duration::from_secs(30);
 
-/// The query parameters a call may carry.
+/// The query parameters of one call; absent ones have their default.
 #[derive(Debug, Default)]
 pub(super) struct CallQuery {
     pub after: u64,
@@ -19,7 +19,7 @@
 }
 
 impl CallQuery {
-    /// Parses `a=1&b=2`; unknown or malformed parameters are ignored.
+    /// Parses a query such as `a=1&b=2`. Unknown and malformed parameters are ignored.
     pub fn parse(text: &str) -> CallQuery {
         let mut query = CallQuery::default();
         for (name, value) in text.split('&').filter_map(|pair| pair.split_once('=')) {
@@ -36,7 +36,7 @@
         query
     }
 
-    /// How long a feed may be held open.
+    /// Returns how long a long poll may wait: `wait_ms`, at most [`MAX_FEED_WAIT`].
     pub fn wait(&self) -> Duration {
         Duration::from_millis(self.wait_ms).min(MAX_FEED_WAIT)
     }
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -1,5 +1,5 @@
-//! The versioned rows of the table service, with conditional writes and a
-//! feed of what changed.
+//! The versioned rows of the platform stand-in's table service, with conditional writes and a
+//! change feed.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -11,19 +11,20 @@
 use umberglade_wire::platform::RowWrite;
 use umberglade_wire::platform::WriteConflict;
 
-/// A row and the table's generation when it was written.
+/// A row and the generation at which it was written.
 #[derive(Debug, Clone)]
 struct StoredRow {
     generation: u64,
     row: Row,
 }
 
-/// All tables, keyed by (table, key). One lock guards it all: the stand-in
-/// serves a few hundred writes a second, far below lock contention.
+/// The rows of all tables, keyed by table name and row key. A single lock protects them: the
+/// stand-in serves a few hundred writes per second, at which there is no lock contention.
 #[derive(Debug)]
 pub struct RowTable {
     started: Instant,
-    /// Counts writes to any table; only grows while the service runs.
+    /// The number of writes and removal transactions in all tables; only grows while the service
+    /// runs.
     generation: u64,
     rows: BTreeMap<(String, String), StoredRow>,
 }
@@ -35,21 +36,20 @@
 }
 
 impl RowTable {
-    /// The row at `table`/`key`, if any.
+    /// Returns the row `key` of `table`, if it exists.
     pub fn get(&self, table: &str, key: &str) -> Option<Row> {
         self.rows.get(&(table.to_owned(), key.to_owned())).map(|stored| stored.row.clone())
     }
 
-    /// The rows of `table` from key `from` on, at most `limit`, sorted by
-    /// key.
+    /// Returns at most `limit` rows of `table` with key `from` or after it, sorted by key.
     pub fn list(&self, table: &str, from: &str, limit: usize) -> RowList {
         let rows =
             self.rows_from(table, from).take(limit).map(|stored| stored.row.clone()).collect();
         RowList { now_ms: self.now_ms(), rows }
     }
 
-    /// The rows of `table` written after generation `after`; `None` when
-    /// this copy of the service never reached `after` (it failed over).
+    /// Returns the rows of `table` written after generation `after`, or `None` when this copy of
+    /// the service has not reached `after` because the service failed over to it.
     pub fn feed(&self, table: &str, after: u64) -> Option<FeedPage> {
         if after > self.generation {
             return None;
@@ -62,8 +62,8 @@
         Some(FeedPage { generation: self.generation, rows })
     }
 
-    /// Applies `write` if the row is still at `write.expect_version`;
-    /// returns the new row or the conflict with the current version.
+    /// Applies `write` if the row still has version `write.expect_version`. Returns the new row, or
+    /// the conflict with the current version.
     pub fn put(&mut self, table: &str, key: &str, write: RowWrite) -> Result<Row, WriteConflict> {
         let row_key = (table.to_owned(), key.to_owned());
         let current_version = self.rows.get(&row_key).map_or(0, |stored| stored.row.version);
@@ -81,9 +81,8 @@
         Ok(row)
     }
 
-    /// Removes every row of `removals` if each is still at its version, or
-    /// none. Feeds do not tell of removals: no table that is followed has
-    /// any.
+    /// Removes all rows of `removals` if each still has its version, otherwise none. Feeds do not
+    /// report removals: tables that are followed have none.
     pub fn remove(&mut self, table: &str, removals: &[RowRemoval]) -> Result<(), WriteConflict> {
         for removal in removals {
             let current_version = self.get(table, &removal.key).map_or(0, |row| row.version);
@@ -98,7 +97,7 @@
         Ok(())
     }
 
-    /// The service's steady clock: milliseconds since it started.
+    /// Returns the monotonic clock of the service: milliseconds since it started.
     fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
--- a/crates/standin/src/rate.rs
+++ b/crates/standin/src/rate.rs
@@ -1,5 +1,4 @@
-//! A fixed-window rate limit, enough to make a stand-in refuse past its
-//! published rate.
+//! A fixed-window rate limit, with which a stand-in rejects calls over its published rate.
 
 use std::sync::Mutex;
 use std::time::Duration;
@@ -11,17 +10,17 @@
 #[derive(Debug)]
 pub struct RateWindow {
     per_second: u32,
-    /// (start of the current window, calls admitted in it).
+    /// The start of the current window and the number of calls admitted in it.
     window: Mutex<(Instant, u32)>,
 }
 
 impl RateWindow {
-    /// A limit of `per_second` calls a second.
+    /// Creates a limit of `per_second` calls per second.
     pub fn new(per_second: u32) -> Self {
         RateWindow { per_second, window: Mutex::new((Instant::now(), 0)) }
     }
 
-    /// True when one more call fits in the current window.
+    /// Counts one more call and returns true, or returns false when the current window is full.
     pub fn admit(&self) -> bool {
         let mut window = self.window.lock().expect("rate window lock");
         let now = Instant::now();
--- a/crates/standin/tests/contracts.rs
+++ b/crates/standin/tests/contracts.rs
@@ -1,5 +1,5 @@
-//! Contracts of the engine, platform and plain-service interfaces: what
-//! each call answers, faults included.
+//! Contract tests of the engine, platform and plain-service interfaces: the response to each call,
+//! also with injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,16 +17,15 @@
 use umberglade_wire::server;
 use umberglade_wire::server::RequestHandler;
 
-/// One call of a session and what must come back; calls of a table run in
-/// order on one stand-in.
+/// One call and the expected response. The calls of a test run in order on the same stand-in.
 struct CallCase {
     name: &'static str,
     method: Method,
     path: &'static str,
     body: &'static str,
-    /// 0: no answer within the client's timeout.
+    /// The expected status; 0 for no response within the client's timeout.
     status: u16,
-    /// Text the body must contain.
+    /// The text that the body must contain.
     body_contains: &'static str,
 }
 
@@ -58,7 +57,7 @@
     for case in cases {
         let sent = client.send("contract", case.method, case.path, Some(case.body.into())).await;
         let Ok(response) = sent else {
-            assert_eq!(case.status, 0, "{}: no answer", case.name);
+            assert_eq!(case.status, 0, "{}: no response", case.name);
             continue;
         };
         let status = response.status().as_u16();
@@ -188,9 +187,8 @@
     });
 }
 
-/// A server is stopped by plan while callers keep asking. It must refuse
-/// what comes from then on, or it never runs empty: under load a caller's
-/// next request arrives before the last one has ended.
+/// A planned stop must reject new requests, or the server never becomes idle: under load the next
+/// request of a caller arrives before the last one has ended.
 #[test]
 fn a_leaving_engine_takes_no_new_work() {
     pool::block_on(async {
@@ -206,8 +204,7 @@
     });
 }
 
-/// A decode server told to fetch a KV cache that is not there says so and
-/// holds nothing.
+/// A decode server that cannot fetch the KV cache returns an error and frees the request's slot.
 #[test]
 fn decode_without_its_kv_cache_holds_nothing() {
     pool::block_on(async {
--- a/crates/wire/src/caller.rs
+++ b/crates/wire/src/caller.rs
@@ -1,39 +1,38 @@
-//! The caller protocol: OpenAI-compatible completions.
+//! The caller protocol: the OpenAI-compatible completions API.
 //!
-//! `POST /v1/chat/completions` takes a [`ChatRequest`] and answers a
-//! [`ChatCompletion`], or with `"stream": true` a server-sent-event stream
-//! of [`ChatChunk`]s closed by `data: [DONE]`. `POST /v1/completions`
-//! takes a [`CompletionRequest`]. Errors are `{"error": {...}}` with
-//! `Retry-After` when the caller may come back.
+//! `POST /v1/chat/completions` takes a [`ChatRequest`] and returns a [`ChatCompletion`], or with
+//! `"stream": true` a stream of server-sent events, each a [`ChatChunk`], that ends with
+//! `data: [DONE]`. `POST /v1/completions` takes a [`CompletionRequest`]. Errors have the body
+//! `{"error": {...}}`, and a `Retry-After` header when the caller may retry.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::engine::Priority;
 
-/// One message of a chat.
+/// One message of a chat conversation.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ChatMessage {
     pub role: String,
     pub content: String,
 }
 
-/// A chat completion request.
+/// The body of `POST /v1/chat/completions`.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ChatRequest {
     pub model: String,
     pub messages: Vec<ChatMessage>,
     #[serde(default)]
     pub stream: bool,
-    /// Tokens to generate at most; the preset's default when absent.
+    /// The maximum number of tokens to generate; the preset's default when absent.
     #[serde(default)]
     pub max_tokens: Option<u32>,
-    /// The service class; derived from the prompt's length when absent.
+    /// The service class; derived from the length of the prompt when absent.
     #[serde(default)]
     pub priority: Option<Priority>,
 }
 
-/// A plain completion request.
+/// The body of `POST /v1/completions`; optional fields are as in [`ChatRequest`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CompletionRequest {
     pub model: String,
@@ -46,7 +45,7 @@
     pub priority: Option<Priority>,
 }
 
-/// Token counts of an answer.
+/// The token counts of a request and its response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Usage {
     pub prompt_tokens: u32,
@@ -54,7 +53,7 @@
     pub total_tokens: u32,
 }
 
-/// One choice of a whole answer.
+/// One choice of a response that is not streamed.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ChatChoice {
     pub index: u32,
@@ -62,7 +61,7 @@
     pub finish_reason: String,
 }
 
-/// A whole chat answer.
+/// A chat response that is not streamed. `created` is in seconds since the Unix epoch.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ChatCompletion {
     pub id: String,
@@ -73,7 +72,7 @@
     pub usage: Usage,
 }
 
-/// The new text of one streamed chunk.
+/// The new text in one chunk of a streamed response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct ChatDelta {
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -82,7 +81,7 @@
     pub content: Option<String>,
 }
 
-/// One choice of a streamed chunk.
+/// One choice in one chunk of a streamed response.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ChunkChoice {
     pub index: u32,
@@ -90,7 +89,7 @@
     pub finish_reason: Option<String>,
 }
 
-/// One server-sent event of a streamed answer.
+/// One server-sent event of a streamed response. `created` is in seconds since the Unix epoch.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct ChatChunk {
     pub id: String,
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,8 +1,8 @@
-//! The HTTP client: one connection per exchange, each step under a timeout.
+//! The HTTP client that opens one connection per exchange, with a timeout for each step.
 //!
-//! A fresh connection per exchange is deliberate for now: a pooled
-//! connection that has gone silent for good (a middlebox lost track of it)
-//! would stall every request sent on it, while a new one works.
+//! Every exchange opens a new connection on purpose: a pooled connection that does not respond
+//! any more, because a middlebox has lost track of it, would stall every request sent on it,
+//! while a new connection works.
 
 use std::time::Duration;
 
@@ -29,23 +29,23 @@
 use crate::error::WireError;
 use crate::pool;
 
-/// Where and how long: one exchange's peer address and timeout.
+/// An HTTP client for one peer, with a timeout per exchange.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
-    /// The peer's `host:port`.
+    /// The address of the peer as `host:port`.
     pub peer: String,
-    /// The bound on connecting plus receiving the response head.
+    /// The time limit for connecting and receiving the response head together.
     pub timeout: Duration,
 }
 
 impl HttpClient {
-    /// A client for `peer` (`"127.0.0.1:7100"`) with `timeout` per exchange.
+    /// Creates a client for `peer` (for example `"127.0.0.1:7100"`) with `timeout` per exchange.
     pub fn new(peer: impl Into<String>, timeout: Duration) -> Self {
         HttpClient { peer: peer.into(), timeout }
     }
 
-    /// Sends one request and returns the response head with its body still
-    /// unread, for streaming. `step` names the exchange in errors.
+    /// Sends one request and returns the response with its body unread, so that the body can be
+    /// streamed. `step` names the exchange in errors.
     pub async fn send(
         &self,
         step: &'static str,
@@ -57,8 +57,8 @@
         self.send_with(step, request, body.unwrap_or_default()).await
     }
 
-    /// Like [`HttpClient::send`] for a request whose method, path and
-    /// headers the caller has set in `request`.
+    /// Sends one request like [`HttpClient::send`], with the method, path and headers that are set
+    /// in `request`.
     pub async fn send_with(
         &self,
         step: &'static str,
@@ -69,7 +69,7 @@
         with_timeout(step, &self.peer, self.timeout, exchange).await
     }
 
-    /// Opens one connection to the peer, driven on the pool until it closes.
+    /// Opens a connection to the peer. A task on the worker pool drives it until it closes.
     pub(crate) async fn connect(
         &self,
         step: &'static str,
@@ -101,8 +101,8 @@
         sender.send_request(request).await.context(HttpSnafu { step, peer })
     }
 
-    /// Sends `body` as JSON and decodes a JSON answer of a 2xx status;
-    /// any other status is [`WireError::Status`].
+    /// Sends `body` as JSON and decodes the JSON body of a response with a 2xx status. Any other
+    /// status is a [`WireError::Status`].
     pub async fn call<B: Serialize, T: DeserializeOwned>(
         &self,
         step: &'static str,
@@ -117,8 +117,8 @@
         serde_json::from_slice(&bytes).context(DecodeSnafu { step, peer: self.peer.as_str() })
     }
 
-    /// Reads a whole response; a status outside 2xx becomes
-    /// [`WireError::Status`] with the body and any `Retry-After`.
+    /// Reads the complete body of `response`. A status outside 2xx is a [`WireError::Status`] with
+    /// the body and the `Retry-After` seconds, if any.
     pub async fn read_full_body(
         &self,
         step: &'static str,
@@ -142,7 +142,7 @@
     }
 }
 
-/// `exchange`, or [`WireError::Timeout`] once `timeout` has passed.
+/// Runs `exchange`, or returns [`WireError::Timeout`] when `timeout` expires first.
 pub(crate) async fn with_timeout<T>(
     step: &'static str,
     peer: &str,
@@ -157,7 +157,7 @@
     exchange.or(expired).await
 }
 
-/// The `Retry-After` header of `response` in whole seconds, if present.
+/// Returns the `Retry-After` header of `response` in seconds, if it is present and an integer.
 pub fn retry_after<B>(response: &Response<B>) -> Option<u64> {
     response
         .headers()
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -1,21 +1,20 @@
 //! The engine protocol: orders from a daemon to prefill and decode servers.
 //!
-//! Project-designed, HTTP/JSON. Routes on an engine:
+//! A protocol of this project over HTTP with JSON bodies. Routes on an engine:
 //! - `POST /v1/prefill` [`PrefillOrder`] → [`PrefillReply`]
 //! - `POST /v1/decode` [`DecodeOrder`] → newline-delimited [`DecodeEvent`]s
 //! - `GET /v1/kv/{handle}` → the exported KV cache bytes (prefill servers)
 //! - `POST /v1/cancel` [`CancelOrder`] → [`CancelReply`]
-//! - `GET /v1/load` → [`LoadReport`] (lags behind the truth)
+//! - `GET /v1/load` → [`LoadReport`] (may be out of date)
 //! - `POST /v1/order` [`EngineOrder`] → [`OrderReply`]
 //! - `GET /v1/report` → [`EngineReport`]
-//! - `GET /v1/cache-events?since=N` → [`CacheEventPage`] (late, with gaps)
+//! - `GET /v1/cache-events?since=N` → [`CacheEventPage`] (delayed, with gaps)
 //! - `GET /v1/stats` → [`EngineStats`] (exact, for tests)
 //! - `POST /v1/faults` [`EngineFaults`] → [`EngineFaults`] (stand-ins only)
 //!
-//! Refusals are 503 with `Retry-After`; an old fencing number is 409 on
-//! engines that check fencing. Every answer to a prefill or decode order
-//! carries a [`LoadSample`] in the [`LOAD_HEADER`] header, so a daemon
-//! learns each server's load from the traffic it has anyway.
+//! An engine rejects with 503 and `Retry-After`; engines that check fencing reject an old fencing
+//! token with 409. Every response to a prefill or decode order has a [`LoadSample`] in the
+//! [`LOAD_HEADER`] header, so a daemon learns the load of each server without extra requests.
 
 use std::fmt;
 use std::str::FromStr;
@@ -30,7 +29,7 @@
 use crate::ids::RequestId;
 use crate::ids::ServerId;
 
-/// The service class of a request; engines serve higher classes first.
+/// The service class of a request. Engines serve urgent requests before standard ones.
 #[derive(
     Debug,
     Clone,
@@ -48,13 +47,13 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum Priority {
-    /// Short lookups with a caller on the phone.
+    /// Short lookups for which a person is waiting on the phone.
     Urgent,
-    /// Long briefs and files that may wait a little.
+    /// Long briefs and files, which tolerate some delay.
     Standard,
 }
 
-/// What a backend server does in the disaggregated pipeline.
+/// The stage of a backend server in the disaggregated prefill and decode pipeline.
 #[derive(
     Debug,
     Clone,
@@ -70,131 +69,132 @@
 #[serde(rename_all = "snake_case")]
 #[strum(serialize_all = "snake_case")]
 pub enum EngineRole {
-    /// Computes the KV cache of a prompt and exports it.
+    /// Computes the KV cache of a prompt and exports it to a decode server.
     Prefill,
-    /// Imports a KV cache and generates tokens.
+    /// Imports the KV cache of a prompt and generates tokens.
     Decode,
-    /// A plain service (booking-desk, organisation-desk); no model.
+    /// Runs a plain service without a model (booking-desk, organisation-desk).
     Plain,
 }
 
-/// Order to compute a prompt's KV cache.
+/// An order to compute the KV cache of a prompt.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct PrefillOrder {
     pub request_id: RequestId,
     pub organisation: OrganisationId,
     pub model: ModelName,
-    /// Tokens in the whole prompt.
+    /// The length of the complete prompt in tokens.
     pub prompt_tokens: u32,
-    /// Hash of the prompt's shared prefix (guidelines, policy text); 0 for none.
+    /// The hash of the prefix that the prompt shares with others (guidelines, policy text); 0 for
+    /// none.
     pub prefix_hash: u64,
-    /// Tokens in that prefix; at most `prompt_tokens`.
+    /// The length of that prefix in tokens; at most `prompt_tokens`.
     pub prefix_tokens: u32,
     pub priority: Priority,
-    /// The preset version the daemon acted under.
+    /// The version of the preset that the daemon acts under, as fencing token.
     pub fence: Fence,
-    /// Milliseconds the engine may keep the result if nobody fetches it.
+    /// Milliseconds for which the engine may retain the KV cache if it is not fetched.
     pub keep_ms: u64,
-    /// Milliseconds after which the engine drops the work by itself.
+    /// Milliseconds after which the engine stops the work by itself.
     pub deadline_ms: u64,
-    /// 0 for a request's first prefill; above, its prompt was computed
-    /// before and is computed again.
+    /// 0 for the first prefill of a request. When above 0, the prompt has been computed before and
+    /// is computed again.
     pub attempt: u32,
 }
 
-/// A finished prefill: where its KV cache can be fetched.
+/// The result of a prefill: the handle under which the KV cache can be fetched.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PrefillReply {
     pub request_id: RequestId,
     pub kv_handle: KvHandle,
-    /// Prompt tokens actually computed (not found in the prefix cache).
+    /// Prompt tokens that were computed because the prefix cache did not have them.
     pub computed_tokens: u32,
-    /// Prompt tokens served from the prefix cache.
+    /// Prompt tokens whose KV cache was found in the prefix cache.
     pub cached_tokens: u32,
-    /// Size of the exported KV cache in bytes.
+    /// The size of the exported KV cache in bytes.
     pub kv_bytes: u64,
 }
 
-/// Order to import a KV cache and generate tokens.
+/// An order to import the KV cache of a prompt and generate tokens.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DecodeOrder {
     pub request_id: RequestId,
     pub organisation: OrganisationId,
     pub model: ModelName,
-    /// `host:port` of the prefill server holding the KV cache.
+    /// The `host:port` of the prefill server that has the KV cache.
     pub kv_source: String,
     pub kv_handle: KvHandle,
     pub prompt_tokens: u32,
-    /// Tokens to generate at most.
+    /// The maximum number of tokens in the response.
     pub max_tokens: u32,
-    /// Digest of the prompt; a stand-in derives its answer from it, so a
-    /// test can tell whose answer a caller got.
+    /// A digest of the prompt. A stand-in derives its response from it, so that a test can tell to
+    /// which request a response belongs.
     pub answer_seed: u64,
-    /// The 0-based token to begin at: above 0 when the answer goes on from
-    /// another decode server that failed midway.
+    /// The 0-based index of the first token to generate. Above 0 when this server continues a
+    /// response after another decode server failed partway.
     pub resume_from: u32,
     pub priority: Priority,
     pub fence: Fence,
-    /// Milliseconds after which the engine frees the request by itself.
+    /// Milliseconds after which the engine drops the request by itself.
     pub deadline_ms: u64,
 }
 
-/// One line of a decode stream.
+/// One event, a line of JSON, of a decode stream.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum DecodeEvent {
     /// The next generated token.
     Token {
         request_id: RequestId,
-        /// 0-based position in the answer.
+        /// The 0-based position of the token in the response.
         index: u32,
         text: String,
     },
-    /// The answer is complete.
+    /// The response is complete and has `tokens` tokens in total.
     Done { request_id: RequestId, tokens: u32, finish_reason: String },
-    /// The engine gave up on the request; no more tokens follow.
+    /// The engine has abandoned the request; no more tokens follow.
     Failed { request_id: RequestId, message: String },
 }
 
-/// Order to drop a request and free what it holds.
+/// An order to drop a request and free its resources.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct CancelOrder {
     pub request_id: RequestId,
 }
 
-/// What a cancel found.
+/// The result of a [`CancelOrder`].
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct CancelReply {
-    /// True when the engine held the request and has freed it.
+    /// True when the engine had the request and has freed it.
     pub freed: bool,
 }
 
-/// A server's load as it reports it; may be some time old.
+/// The load of a server as the server reports it; may be out of date.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct LoadReport {
     pub server: ServerId,
     pub role: EngineRole,
     /// Requests being worked on.
     pub running: u32,
-    /// Requests queued behind them.
+    /// Requests that are queued behind the running ones.
     pub waiting: u32,
-    /// Requests the server can hold at once (decode memory slots).
+    /// The number of requests that fit in the server at once (decode memory slots).
     pub slots: u32,
     /// Prompt tokens admitted and not yet computed.
     pub queued_tokens: u64,
-    /// Milliseconds since the engine started, when the figures were taken.
+    /// When the figures were taken, in milliseconds since the engine started.
     pub taken_at_ms: u64,
 }
 
-/// The header of a prefill or decode answer that carries a [`LoadSample`].
+/// The header of a prefill or decode response that contains a [`LoadSample`].
 pub const LOAD_HEADER: &str = "x-umberglade-load";
 
-/// A server's load as it rides on an answer: `running,slots,queued_tokens`.
+/// The load of a server as sent with a response, in the format `running,slots,queued_tokens`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LoadSample {
-    /// Requests being worked on, from every daemon.
+    /// Requests being processed or queued, from all daemons together.
     pub running: u32,
-    /// Requests the server can hold at once.
+    /// The number of requests that fit in the server at once.
     pub slots: u32,
     /// Prompt tokens admitted and not yet computed.
     pub queued_tokens: u64,
@@ -209,7 +209,7 @@
 impl FromStr for LoadSample {
     type Err = std::num::ParseIntError;
 
-    /// Parses `running,slots,queued_tokens`; a missing part fails as empty.
+    /// Parses `running,slots,queued_tokens`. A missing number is an error, like an empty one.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let mut parts = text.split(',').map(str::trim);
         Ok(LoadSample {
@@ -230,55 +230,55 @@
     }
 }
 
-/// What an [`EngineOrder`] asks a server to become.
+/// The change to a server that an [`EngineOrder`] requests.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(tag = "operation", rename_all = "snake_case")]
 pub enum OrderOperation {
-    /// Load a model's weights at a version from the weight store.
+    /// Load the weights of `model` at `version` from the weight store.
     LoadModel { model: ModelName, version: u32 },
-    /// Load an adapter for the model in place.
+    /// Load an adapter for the model that the server already serves.
     LoadAdapter { adapter: String },
-    /// Serve the other stage from now on.
+    /// Change to the stage `role`.
     SetRole { role: EngineRole },
 }
 
-/// An order that changes what a server is, from the holder of the duty.
+/// An order from the leader that changes the model, the adapters or the role of a server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct EngineOrder {
     #[serde(flatten)]
     pub operation: OrderOperation,
-    /// The daemon that holds the duty lease.
+    /// The daemon that holds the leader lease.
     pub holder: String,
-    /// The fencing number of that lease (its row version).
+    /// The fencing token of that lease (its row version).
     pub fence: Fence,
-    /// The order count the holder last saw; checked when the order is
-    /// carried out, so an order that arrives late is refused even by
-    /// engines that ignore fencing numbers.
+    /// The `sequence` of the server that the leader saw last. The engine compares it when it
+    /// accepts the order, so that even engines that ignore fencing tokens reject a delayed order.
     pub expected_sequence: u64,
 }
 
-/// An accepted order.
+/// The response to an accepted [`EngineOrder`].
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct OrderReply {
-    /// Orders accepted since the server started, this one included.
+    /// The number of orders accepted since the server started, including this one.
     pub sequence: u64,
 }
 
-/// What a server is now.
+/// The current model, adapters and role of a server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct EngineReport {
     pub server: ServerId,
     pub role: EngineRole,
     pub model: ModelName,
+    /// The version of the model's weights.
     pub version: u32,
     pub adapters: Vec<String>,
-    /// An order is being carried out.
+    /// True while the server executes an order.
     pub busy: bool,
-    /// Orders accepted since the server started.
+    /// The number of orders accepted since the server started.
     pub sequence: u64,
 }
 
-/// Whether a prefix entered or left a server's cache.
+/// Whether a prefix was added to the prefix cache of a server or evicted from it.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum CacheChange {
@@ -286,7 +286,7 @@
     Evicted,
 }
 
-/// One change of a server's prefix cache.
+/// One change of the prefix cache of a server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct CacheEvent {
     pub sequence: u64,
@@ -294,35 +294,35 @@
     pub prefix_hash: u64,
 }
 
-/// Cache events after the `since` asked for.
+/// The cache events after the requested `since`.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct CacheEventPage {
-    /// What to ask `since` next.
+    /// The `since` of the next request.
     pub next: u64,
-    /// True when events in between were dropped and never come.
+    /// True when events between `since` and `next` were dropped and will not be sent.
     pub lost: bool,
     pub events: Vec<CacheEvent>,
 }
 
-/// Exact figures for tests: what the engine holds right now.
+/// Exact current figures of an engine, for tests. Counts are since the engine started.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct EngineStats {
-    /// Requests holding engine memory (running or queued).
+    /// Requests that occupy engine memory now (running or queued).
     pub held_requests: u32,
-    /// Exported KV caches not yet fetched or expired.
+    /// Exported KV caches that are neither fetched nor expired now.
     pub held_exports: u32,
     pub prefills_done: u64,
     pub decodes_done: u64,
     pub cancels: u64,
-    /// Prompt tokens computed in all.
+    /// All prompt tokens computed.
     pub computed_tokens: u64,
-    /// Prompt tokens computed whose result expired or was cancelled unused.
+    /// Prompt tokens computed for a result that expired or was cancelled before it was used.
     pub wasted_tokens: u64,
-    /// Prompt tokens computed by a repeated prefill of the same request.
+    /// Prompt tokens computed by a retried prefill of the same request.
     pub repeated_tokens: u64,
-    /// Prompt tokens computed that belong to a shared prefix.
+    /// Prompt tokens computed that are part of a shared prefix.
     pub prefix_tokens: u64,
-    /// Orders refused for an old fencing number.
+    /// Orders rejected because of an old fencing token.
     pub fenced_off: u64,
 }
 
@@ -330,24 +330,26 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 #[serde(default)]
 pub struct EngineFaults {
-    /// Refuse every order, as a crashed server's port would.
+    /// Reject every prefill and decode order and cut running decode streams, to simulate a crashed
+    /// server.
     pub down: bool,
-    /// Cut every decode stream after this many tokens; 0 for never.
+    /// The number of tokens after which every decode stream is cut; 0 for never.
     pub cut_after_tokens: u32,
-    /// Fall silent after this many tokens of every decode stream, the
-    /// connection left open; 0 for never.
+    /// The number of tokens after which every decode stream stalls with its connection open; 0 for
+    /// never.
     pub silent_after_tokens: u32,
-    /// Hold every prefill order and never answer it.
+    /// Leave every prefill order without a response.
     pub silent_prefill: bool,
-    /// Hold every KV transfer and never send it.
+    /// Stall every KV cache transfer before the first byte.
     pub stall_kv: bool,
     /// Send every token line twice.
     pub duplicate_lines: bool,
-    /// Send a line of another request's answer before each of its own.
+    /// Send a token line of another request before each token line of a request.
     pub crossed_lines: bool,
-    /// Go on with the work when the connection it came by closes, as some
-    /// engines do: only a cancel or the deadline ends it.
+    /// Continue the work on a request when its connection closes, as some engines do. Only a
+    /// cancel order or the deadline ends it.
     pub ignores_hangup: bool,
-    /// Leave orders unanswered and carry them out this much later.
+    /// Milliseconds by which engine orders are delayed: the order gets no response and is accepted
+    /// this much later; 0 for none.
     pub late_order_ms: u64,
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -1,40 +1,40 @@
-//! Errors of the HTTP plumbing, carrying the step and the peer.
+//! Errors of HTTP exchanges, with the step and the peer they occurred at.
 
 use snafu::Snafu;
 
-/// What went wrong while talking to another process.
+/// The failure of an HTTP exchange with another process.
 ///
-/// Every variant names the `step` (what we were doing) and the `peer`
-/// (the address we were talking to), so a log line says where it arose.
+/// Every variant holds the `step` (the operation that was in progress) and the `peer` (the
+/// address of the other process), so that a log line tells where the error occurred.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum WireError {
     /// The TCP connection could not be opened.
     #[snafu(display("{step}: connecting to {peer}: {source}"))]
     Connect { step: &'static str, peer: String, source: std::io::Error },
-    /// The HTTP exchange failed after the connection was open.
+    /// The HTTP exchange failed after the connection had been opened.
     #[snafu(display("{step}: HTTP with {peer}: {source}"))]
     Http { step: &'static str, peer: String, source: hyper::Error },
-    /// The peer did not answer within the timeout.
+    /// The peer did not respond within `timeout_ms` milliseconds.
     #[snafu(display("{step}: {peer} gave no answer within {timeout_ms} ms"))]
     Timeout { step: &'static str, peer: String, timeout_ms: u64 },
-    /// The peer's body was not the JSON we expected.
+    /// The response body was not the expected JSON.
     #[snafu(display("{step}: bad JSON from {peer}: {source}"))]
     Decode { step: &'static str, peer: String, source: serde_json::Error },
-    /// The peer answered with a status we do not accept at this step.
+    /// The peer responded with a status that is not accepted at this step.
     #[snafu(display("{step}: {peer} answered {status}: {body}"))]
     Status {
         step: &'static str,
         peer: String,
         status: u16,
-        /// Seconds the peer asked us to wait, from `Retry-After`.
+        /// Seconds to wait before a retry, from the `Retry-After` header.
         retry_after_s: Option<u64>,
         body: String,
     },
 }
 
 impl WireError {
-    /// The HTTP status the peer answered, if it answered at all.
+    /// Returns the HTTP status of a [`WireError::Status`], or `None` for all other errors.
     pub fn status(&self) -> Option<u16> {
         match self {
             WireError::Status { status, .. } => Some(*status),
@@ -42,13 +42,13 @@
         }
     }
 
-    /// True when the peer was never reached: nothing can have run there.
+    /// Returns true when no connection was opened, so the peer cannot have run anything.
     pub fn is_unsent(&self) -> bool {
         matches!(self, WireError::Connect { .. })
     }
 
-    /// True when the peer never gave an answer: the action may or may not
-    /// have taken effect (a lost reply).
+    /// Returns true when no usable response arrived (for example a lost reply), so the action
+    /// may or may not have taken effect.
     pub fn is_unanswered(&self) -> bool {
         matches!(
             self,
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,22 +1,24 @@
-//! Type aliases for the identifiers that cross process boundaries.
+//! Type aliases for the identifiers in messages between processes.
 
-/// A request's id: `"{daemon}-{incarnation}-{sequence}"`, never used twice.
+/// The id of a request: `"{daemon}-{incarnation}-{sequence}"`, unique among all requests.
 pub type RequestId = String;
-/// An organisation's name, as in the organisations table (`"neulanjalki"`).
+/// The name of an organisation, as in the organisations table (for example `"neulanjalki"`).
 pub type OrganisationId = String;
-/// A backend server's id, as in the instance list (`"brief-p1"`).
+/// The id of a backend server, as in the instance list (for example `"brief-p1"`).
 pub type ServerId = String;
-/// A model's name, as callers send it (`"brief-model"`).
+/// The name of a model, as callers send it (for example `"brief-model"`).
 pub type ModelName = String;
-/// A daemon instance's id, from its settings (`"entry-1"`).
+/// The id of a daemon instance, from its settings (for example `"entry-1"`).
 pub type DaemonId = String;
-/// A failure domain's name (`"hall-a"`).
+/// The name of a failure domain (for example `"hall-a"`).
 pub type DomainName = String;
-/// A region's name (`"tampere"`); empty at a site of one region.
+/// The name of a region (for example `"tampere"`); empty at a site with a single region.
 pub type RegionName = String;
-/// A handle to a KV cache exported by a prefill server.
+/// The handle of a KV cache that a prefill server has exported.
 pub type KvHandle = u64;
-/// A fencing number: the version of the preset that an order was made under.
+/// A fencing token: a row version that only grows, so a receiver can reject orders with an older
+/// one. In prefill and decode orders the version of the preset that the order was made under, in
+/// engine orders the version of the leader lease's row.
 pub type Fence = u64;
-/// A row version in the platform's table service; starts at 1, only grows.
+/// The version of a row in the platform's table service; starts at 1 and only grows.
 pub type RowVersion = u64;
--- a/crates/wire/src/keep_alive.rs
+++ b/crates/wire/src/keep_alive.rs
@@ -1,4 +1,4 @@
-//! A client that keeps its connection open between exchanges.
+//! An HTTP client that reuses its keep-alive connection.
 
 use std::time::Duration;
 
@@ -16,19 +16,18 @@
 use crate::error::HttpSnafu;
 use crate::error::WireError;
 
-/// A whole answer: its status and body.
+/// The status and the complete body of a response.
 #[derive(Debug, Clone)]
 pub struct BufferedResponse {
     pub status: StatusCode,
     pub body: Bytes,
 }
 
-/// One peer, one connection, one exchange at a time; for reads that are
-/// repeated for as long as the process lives.
+/// An HTTP client with one peer, one keep-alive connection and one exchange at a time, for reads
+/// that are repeated until the process stops.
 ///
-/// Guards against a kept connection that has gone silent for good: each
-/// exchange is bounded by its own timeout, and whatever fails drops the
-/// connection, so the next exchange begins on a fresh one.
+/// Prevents stalls on a connection that does not respond any more: each exchange has its own
+/// timeout, and any failure drops the connection, so that the next exchange opens a new one.
 #[derive(Debug)]
 pub struct KeepAliveClient {
     http: HttpClient,
@@ -36,18 +35,18 @@
 }
 
 impl KeepAliveClient {
-    /// A client for `peer` (`"127.0.0.1:7100"`), not connected yet.
+    /// Creates an unconnected client for `peer` (for example `"127.0.0.1:7100"`).
     pub fn new(peer: impl Into<String>) -> Self {
         KeepAliveClient { http: HttpClient::new(peer, Duration::MAX), sender: None }
     }
 
-    /// The peer's address.
+    /// Returns the address of the peer as `host:port`.
     pub fn peer(&self) -> &str {
         &self.http.peer
     }
 
-    /// Reads `path` whole within `timeout`. `step` names the exchange in
-    /// errors.
+    /// Sends a `GET` for `path` and reads the complete response within `timeout`. `step` names the
+    /// exchange in errors.
     pub async fn get(
         &mut self,
         step: &'static str,
@@ -57,7 +56,7 @@
         self.call(step, Method::GET, path, Bytes::new(), timeout).await
     }
 
-    /// Like [`KeptClient::get`] with any method and body.
+    /// Sends any method and body, otherwise like [`KeepAliveClient::get`].
     pub async fn call(
         &mut self,
         step: &'static str,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,9 +1,9 @@
-//! Messages and HTTP plumbing shared by every umberglade process.
+//! Message types and HTTP helpers shared by all umberglade processes.
 //!
-//! The daemon, the stand-ins and `umberctl` speak HTTP/1.1 with JSON bodies
-//! through `hyper` on the `smol` runtime. This crate holds the typed messages
-//! of each interface (caller, engine, platform) and the small server and
-//! client helpers that carry them.
+//! The daemon, the stand-ins and `umberctl` speak HTTP/1.1 with JSON bodies,
+//! using `hyper` on the `smol` runtime. This crate defines the messages of each
+//! interface (caller, engine, plain service, platform) and the HTTP server and
+//! client helpers that send and receive them.
 
 pub mod caller;
 pub mod client;
@@ -20,13 +20,13 @@
 
 pub use error::WireError;
 
-/// A stable 64-bit digest of `text` (xxh3), used for prefix affinity and
-/// to derive a stand-in's answer from its prompt.
+/// Returns the 64-bit xxh3 digest of `text`, the same in every process and run. Used for
+/// prefix affinity and to derive a stand-in's response from its prompt.
 pub fn digest(text: &[u8]) -> u64 {
     xxhash_rust::xxh3::xxh3_64(text)
 }
 
-/// Like [`digest`], mixed with `seed` and without copying `text`.
+/// Returns the 64-bit xxh3 digest of `text` with `seed` mixed in, without copying `text`.
 pub fn digest_seeded(text: &[u8], seed: u64) -> u64 {
     xxhash_rust::xxh3::xxh3_64_with_seed(text, seed)
 }
--- a/crates/wire/src/lines.rs
+++ b/crates/wire/src/lines.rs
@@ -1,11 +1,11 @@
-//! Reads a newline-delimited body one line at a time.
+//! Reads a newline-delimited response body line by line.
 
 use bytes::Bytes;
 use bytes::BytesMut;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Splits a streamed body into lines, without the newline.
+/// Splits a streamed body into lines without their newline characters.
 #[derive(Debug)]
 pub struct LineReader {
     body: Incoming,
@@ -13,19 +13,19 @@
 }
 
 impl LineReader {
-    /// A reader of `body`.
+    /// Creates a reader of the lines of `body`.
     pub fn new(body: Incoming) -> Self {
         LineReader { body, buffer: BytesMut::new() }
     }
 
-    /// A whole line that has already arrived, if there is one.
+    /// Returns the next line if it has been received completely, without waiting.
     pub fn buffered_line(&mut self) -> Option<Bytes> {
         let newline = self.buffer.iter().position(|byte| *byte == b'\n')?;
         let line = self.buffer.split_to(newline + 1);
         Some(line.freeze().slice(..newline))
     }
 
-    /// Puts back a line that was just taken.
+    /// Puts the most recently returned line back, so that it is returned again next.
     pub fn unread_line(&mut self, line: Bytes) {
         let rest = self.buffer.split();
         self.buffer.extend_from_slice(&line);
@@ -33,8 +33,8 @@
         self.buffer.extend_from_slice(&rest);
     }
 
-    /// The next whole line; `None` at the end of the body (a last line
-    /// without a newline is returned first).
+    /// Waits for the next complete line and returns it, or `None` at the end of the body. A last
+    /// line that has no newline is returned too.
     pub async fn next_line(&mut self) -> Result<Option<Bytes>, hyper::Error> {
         loop {
             if let Some(line) = self.buffered_line() {
--- a/crates/wire/src/plain.rs
+++ b/crates/wire/src/plain.rs
@@ -1,40 +1,40 @@
-//! The plain-service protocol: calls to booking-desk or organisation-desk
-//! style services, some of which must not be repeated.
+//! The plain-service protocol: calls to services such as booking-desk or organisation-desk, some
+//! of which must not be retried.
 //!
-//! - `POST /v1/call` [`PlainCall`] → [`PlainAnswer`]; not idempotent
-//! - `GET /v1/lookup/{what}` → [`PlainAnswer`]; safe to repeat
+//! - `POST /v1/call` [`PlainCall`] → [`PlainResponse`]; not idempotent
+//! - `GET /v1/lookup/{item}` → [`PlainResponse`]; idempotent, safe to retry
 //! - `GET /v1/stats` → [`PlainStats`]
 //! - `POST /v1/faults` [`PlainFaults`] → [`PlainFaults`] (stand-ins only)
 //!
-//! 429 and 503 promise that a call was not run; no other answer does.
+//! A 429 or 503 response guarantees that the call was not run; no other response does.
 
 use serde::Deserialize;
 use serde::Serialize;
 
 use crate::ids::OrganisationId;
 
-/// One call to a plain service.
+/// The body of a call to a plain service.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PlainCall {
     pub organisation: OrganisationId,
-    /// The caller's key for this action; the same key is the same action.
+    /// The caller's key for this action; calls with the same key are the same action.
     pub idempotency_key: String,
-    /// The caller's request body, passed through.
+    /// The caller's request body, passed through unchanged.
     pub payload: serde_json::Value,
 }
 
-/// What the service did.
+/// The response of a plain service.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PlainResponse {
-    /// The service's receipt, e.g. a booking number.
+    /// The receipt of the service, for example a booking number.
     pub confirmation: String,
 }
 
-/// How often the service ran each action, for tests.
+/// How often the service ran its action, for tests.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct PlainStats {
     pub executions: u64,
-    /// The most times any one idempotency key ran.
+    /// The highest number of runs of any single idempotency key.
     pub most_runs_of_one_key: u32,
 }
 
@@ -42,30 +42,30 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 #[serde(default)]
 pub struct PlainFaults {
-    /// Refuse every call with 503, not run.
+    /// Reject every call and lookup with 503, without running it.
     pub refuse: bool,
-    /// Run every call, then answer 500.
+    /// Run every call, then respond with 500.
     pub fail: bool,
-    /// Run every call, then never answer.
+    /// Run every call, then leave it without a response.
     pub lose_answers: bool,
 }
 
-/// The idempotency record of one non-idempotent action, kept in the
-/// platform's `idempotency` table under `"{organisation}/{key}"`.
+/// The idempotency record of one action that is not idempotent, stored in the platform's
+/// `idempotency` table under the key `"{organisation}/{key}"`.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(tag = "state", rename_all = "snake_case")]
 pub enum IdempotencyRecord {
-    /// A daemon claimed the action and may have sent it; its outcome is
-    /// not known until the record moves on.
+    /// A daemon has claimed the action and may have sent it. The outcome is unknown until the
+    /// record changes to another state.
     Started {
-        /// Daemon, incarnation and number: no two claims are alike.
+        /// The unique id of the claim: daemon, incarnation and a number.
         claim: String,
     },
-    /// The action ran; this is its answer, given again to a retry.
+    /// The action ran. Retries receive this stored response.
     Done { status: u16, body: String },
-    /// The service refused it: it did not run, and may be tried again.
+    /// The service rejected the action: it did not run and may be retried.
     NotRun { status: u16, body: String },
 }
 
-/// The table of idempotency records.
+/// The table of [`IdempotencyRecord`]s.
 pub const IDEMPOTENCY_TABLE: &str = "idempotency";
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -5,22 +5,24 @@
 //! - `GET /v1/rows/{table}/{key}` → [`Row`], 404 when absent
 //! - `PUT /v1/rows/{table}/{key}` [`RowWrite`] → [`Row`], 409 [`WriteConflict`]
 //! - `DELETE /v1/rows/{table}/{key}?version=V`, 409 [`WriteConflict`]
-//! - `GET /v1/rows/{table}?from=K&limit=N` → [`RowList`]: rows whose key
-//!   is K or after it, at most N (all by default)
+//! - `GET /v1/rows/{table}?from=K&limit=N` → [`RowList`]: rows with key K
+//!   or after it, at most N (all by default)
 //! - `POST /v1/rows/{table}/remove` [`RowRemovals`] → [`RowList`] (empty):
-//!   all removed or none, 409 [`WriteConflict`]
+//!   removes all rows or none, 409 [`WriteConflict`]
 //! - `GET /v1/feed/{table}?after=G&wait_ms=W` → [`FeedPage`]: rows changed
-//!   after generation G, held open up to W ms while there are none; 410
-//!   when the table's history does not reach G
-//! - `GET /v1/instances?after=G&wait_ms=W` → [`InstanceList`] (lags behind
-//!   reality): the entries changed after G, or all with G = 0 or unknown
+//!   after generation G; a long poll that waits up to W ms for the first
+//!   one; 410 when the service has not reached generation G
+//! - `GET /v1/instances?after=G&wait_ms=W` → [`InstanceList`] (may be out
+//!   of date): the entries changed after G, or all when G is 0 or unknown;
+//!   a long poll that waits up to W ms for a change
 //! - `PUT`, `GET`, `DELETE /v1/objects/{name}` → raw bytes of the object
 //!   store; `GET /v1/objects?prefix=P` → [`ObjectList`]
 //! - `PUT /v1/instances/{server}` [`InstanceEntry`] → [`InstanceEntry`]
 //! - `POST /v1/faults` [`FaultPlan`] → [`FaultPlan`]
 //!
-//! Over its rate the service answers 429 with `Retry-After`; in an outage,
-//! 503. A lost reply shows as a dropped connection after the write.
+//! Over its rate limit the service responds with 429 and `Retry-After`, in an
+//! outage with 503. When the reply to a write is lost, the connection ends or
+//! stalls without a response although the write was processed.
 
 use serde::Deserialize;
 use serde::Serialize;
@@ -33,48 +35,48 @@
 use crate::ids::RowVersion;
 use crate::ids::ServerId;
 
-/// The table holding presets, keyed by preset name.
+/// The table of presets, keyed by preset name.
 pub const PRESETS_TABLE: &str = "presets";
-/// The table every daemon follows: rows [`ACTIVE_KEY`],
-/// [`ORGANISATIONS_KEY`] and [`DRAINS_KEY`].
+/// The table that every daemon follows, with the rows [`ACTIVE_KEY`], [`ORGANISATIONS_KEY`],
+/// [`DRAINS_KEY`] and [`ROLE_ORDERS_KEY`].
 pub const CONTROL_TABLE: &str = "control";
-/// The [`ActivePreset`] row: the preset in force, whole.
+/// The key of the [`ActivePreset`] row of [`CONTROL_TABLE`].
 pub const ACTIVE_KEY: &str = "active";
-/// The [`OrganisationBook`] row.
+/// The key of the [`OrganisationRegistry`] row of [`CONTROL_TABLE`].
 pub const ORGANISATIONS_KEY: &str = "organisations";
-/// The [`DrainBook`] row.
+/// The key of the [`DrainRegistry`] row of [`CONTROL_TABLE`].
 pub const DRAINS_KEY: &str = "drains";
 
-/// One row with its version.
+/// One row of a table with its version.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct Row {
     pub key: String,
-    /// Starts at 1 and grows by one with each accepted write.
+    /// Starts at 1 and increases by one with each accepted write.
     pub version: RowVersion,
-    /// The service's own steady clock when the row was written; compare
-    /// only with a `now_ms` of the same service.
+    /// When the row was written, in milliseconds of the service's monotonic clock; comparable only
+    /// with a `now_ms` of the same service.
     #[serde(default)]
     pub written_ms: u64,
     pub value: serde_json::Value,
 }
 
-/// A conditional write.
+/// A conditional write of one row.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RowWrite {
-    /// The version the writer last read: the write succeeds only if the row
-    /// is still at it. 0 means "the row must not exist yet".
+    /// The version that the writer last read. The write succeeds only if the row still has it; 0
+    /// means that the row must not exist yet.
     pub expect_version: RowVersion,
     pub value: serde_json::Value,
 }
 
-/// Why a conditional write was refused.
+/// The reason why a conditional write was rejected.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct WriteConflict {
-    /// The row's version now (0 when absent).
+    /// The current version of the row; 0 when absent.
     pub current_version: RowVersion,
 }
 
-/// One row to remove, if it is still at `version`.
+/// One row to remove, on condition that it still has `version`.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct RowRemoval {
     pub key: String,
@@ -90,71 +92,71 @@
 /// Rows of a table, sorted by key.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct RowList {
-    /// The service's steady clock now.
+    /// The time of the service's monotonic clock when the list was read, in milliseconds.
     #[serde(default)]
     pub now_ms: u64,
     pub rows: Vec<Row>,
 }
 
-/// The rows of a table that changed after the generation asked for.
+/// The rows of a table that changed after the requested generation.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Default)]
 pub struct FeedPage {
-    /// What to ask `after` next.
+    /// The `after` of the next request.
     pub generation: u64,
-    /// Changed rows, each at its newest version.
+    /// The changed rows, each at its latest version.
     pub rows: Vec<Row>,
 }
 
-/// Names in the object store under a prefix.
+/// The names in the object store that start with a prefix.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct ObjectList {
     pub names: Vec<String>,
 }
 
-/// The row that says which preset is in force, carrying the preset whole
-/// so that one conditional write puts it in force everywhere: no daemon can
-/// pair a pointer with a different edit of the preset.
+/// The preset in force. The row contains the complete preset, so that a single conditional write
+/// activates it everywhere and no daemon can combine the name of the active preset with another
+/// edit of it.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ActivePreset {
-    /// Name of the preset in force.
+    /// The name of the preset in force.
     pub preset: String,
-    /// The version of that preset's row that was activated.
+    /// The version of the row of that preset that was activated.
     pub preset_version: RowVersion,
-    /// Who activated it (operator and shift), for the audit trail.
+    /// The operator and shift that activated it, for the audit trail.
     pub activated_by: String,
-    /// The preset's body as stored in the presets table.
+    /// The body of the preset as stored in [`PRESETS_TABLE`].
     pub body: serde_json::Value,
 }
 
-/// Every organisation, with its callers' API keys.
+/// All organisations with the API keys of their callers.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct OrganisationRegistry {
     pub organisations: std::collections::BTreeMap<crate::ids::OrganisationId, OrganisationEntry>,
 }
 
-/// Backend servers that operators have drained: no new work goes there.
+/// The backend servers that operators have drained; they receive no new work.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct DrainRegistry {
     pub servers: std::collections::BTreeMap<ServerId, DrainOrder>,
 }
 
-/// A backend server as the instance list knows it.
+/// A backend server in the instance list.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct InstanceEntry {
     pub server: ServerId,
-    /// `host:port` of the server's HTTP endpoint.
+    /// The `host:port` of the HTTP endpoint of the server.
     pub addr: String,
     pub role: EngineRole,
-    /// The model it serves; the service name for plain services.
+    /// The model that the server serves; the service name for plain services.
     pub model: ModelName,
     pub domain: DomainName,
-    /// Empty at a site of one region.
+    /// Empty at a site with a single region.
     #[serde(default)]
     pub region: RegionName,
     pub state: InstanceState,
 }
 
-/// Whether an instance takes new work.
+/// Whether an instance accepts new work.
 #[derive(
     Debug, Clone, Copy, Serialize, Deserialize, PartialEq, Eq, strum::Display, strum::EnumString,
 )]
@@ -163,17 +165,16 @@
 pub enum InstanceState {
     Live,
     Leaving,
-    /// No longer there; only ever in a list of changes.
+    /// Removed; appears only in lists of changes.
     Gone,
 }
 
-/// The instance list, or what changed in it (behind reality).
+/// The instance list or the changes in it; may be out of date.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct InstanceList {
-    /// Counts the changes visible so far; grows with each one. What to ask
-    /// `after` next.
+    /// The number of changes that are visible so far, and the `after` of the next request.
     pub generation: u64,
-    /// True when `instances` holds only what changed; false for the whole.
+    /// True when `instances` has only the changed entries, false when it has all entries.
     #[serde(default)]
     pub delta: bool,
     pub instances: Vec<InstanceEntry>,
@@ -183,27 +184,27 @@
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 #[serde(default)]
 pub struct FaultPlan {
-    /// Answer every table call with 503.
+    /// Reject every call to the rows, feeds, instances and objects with 503.
     pub outage: bool,
-    /// Delay every answer by this many milliseconds.
+    /// Milliseconds by which the response to every such call is delayed.
     pub delay_ms: u64,
-    /// Read every call and never answer, as a connection gone silent does.
+    /// Read every such call and leave it without a response, like a connection that has stalled.
     pub silent: bool,
-    /// Percent of writes whose reply is lost after the write took effect
-    /// or met a conflict.
+    /// The percentage of writes, 0 to 100, whose reply is lost after the write took effect or was
+    /// rejected with a conflict.
     pub lose_reply_percent: u8,
 }
 
 /// The table of [`MemberRecord`]s, keyed by daemon id.
 pub const MEMBERS_TABLE: &str = "members";
-/// The table of the duty lease: one [`DutyRecord`] under [`DUTY_KEY`].
+/// The table of the leader lease: one [`LeaderRecord`] under [`LEADER_KEY`].
 pub const LEADER_TABLE: &str = "duty";
-/// The one row of [`DUTY_TABLE`].
+/// The key of the only row of [`LEADER_TABLE`].
 pub const LEADER_KEY: &str = "holder";
-/// The [`RoleOrderBook`] row of [`CONTROL_TABLE`].
+/// The key of the [`RoleOrderRegistry`] row of [`CONTROL_TABLE`].
 pub const ROLE_ORDERS_KEY: &str = "role-orders";
 
-/// A daemon's membership: renewed while it runs, left to lapse when it
+/// The membership lease of a daemon: renewed by heartbeats while the daemon runs, expires when it
 /// dies.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct MemberRecord {
@@ -211,54 +212,55 @@
     pub addr: String,
     pub domain: DomainName,
     pub region: RegionName,
-    /// A new number each start, so a restart shows.
+    /// A new number at each start, which makes restarts visible.
     pub incarnation: u64,
-    /// The fence in force on it when it renewed.
+    /// The fencing token in force on the daemon when it renewed the lease.
     pub fence: u64,
-    /// False once it began a graceful stop.
+    /// False when the daemon has started a graceful stop.
     pub serving: bool,
 }
 
-/// Who may send orders that change servers; the row's version is the
-/// fencing number of those orders.
+/// The holder of the leader lease: the daemon that may send
+/// [`EngineOrder`](crate::engine::EngineOrder)s. The version of the row is their fencing token.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct LeaderRecord {
     pub holder: DaemonId,
     pub incarnation: u64,
 }
 
-/// What operators want servers to be; the holder of the duty sees to it.
+/// The roles that operators have ordered for servers; the leader applies them.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct RoleOrderRegistry {
     pub servers: std::collections::BTreeMap<ServerId, RoleOrder>,
 }
 
-/// An operator's wish for one server's role.
+/// The role that an operator has ordered for one server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct RoleOrder {
     pub role: EngineRole,
     pub by: String,
 }
 
-/// An operator's drain of one backend server.
+/// The order of an operator to drain one backend server.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct DrainOrder {
     pub server: ServerId,
     pub by: String,
 }
 
-/// An organisation and the API keys its callers present.
+/// The API keys that callers of an organisation present.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq)]
 pub struct OrganisationEntry {
     pub api_keys: Vec<String>,
 }
 
-/// What the platform stand-in has served since it started (`GET /v1/usage`).
+/// What the platform stand-in has served since it started (`GET /v1/usage`). Accepted calls
+/// count as reads or writes.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq, Eq, Default)]
 pub struct PlatformUsage {
     pub reads: u64,
     pub writes: u64,
-    /// Calls refused for rate (429) or outage (503).
+    /// Calls rejected over the rate limit (429) or in an outage (503).
     pub refused: u64,
     /// Request body bytes received.
     pub bytes_in: u64,
--- a/crates/wire/src/pool.rs
+++ b/crates/wire/src/pool.rs
@@ -1,7 +1,7 @@
 //! The worker pool: one shared executor run by a fixed number of threads.
 //!
-//! Every task of a process (connections, request handlers, pollers) is
-//! spawned here, so the thread count is a setting and not a library default.
+//! Every task of a process (connections, request handlers, pollers) is spawned
+//! here, so that the number of threads is a setting and not a library default.
 
 use std::future::Future;
 use std::thread;
@@ -9,15 +9,15 @@
 use smol::Executor;
 use smol::future;
 
-/// The process's one executor; threads started by [`start`] run it.
+/// The only executor of the process. Threads that [`start`] or [`block_on`] provide run it.
 pub static WORKERS: Executor<'static> = Executor::new();
 
-/// Makes the pool `threads` threads wide: the thread that calls
-/// [`block_on`] is one of them, the others are started here and run
-/// [`WORKERS`] until the process exits. Call once, before [`block_on`].
+/// Sets the size of the pool to `threads` threads. The thread that calls [`block_on`] is one of
+/// them; the others are started here and run [`WORKERS`] until the process exits. Must be called
+/// once, before [`block_on`].
 ///
-/// With one thread no task is ever handed to another: that saves a wake-up
-/// of a sleeping thread for each token relayed.
+/// With a single thread no task moves between threads, which saves waking a sleeping thread for
+/// each relayed token.
 pub fn start(threads: usize) {
     for index in 1..threads {
         thread::Builder::new()
@@ -27,7 +27,7 @@
     }
 }
 
-/// Spawns `task` on the pool and lets it run to its end on its own.
+/// Spawns `task` on the pool as a detached task that runs to its end.
 pub fn spawn<F>(task: F)
 where
     F: Future<Output = ()> + Send + 'static,
@@ -35,8 +35,8 @@
     WORKERS.spawn(task).detach();
 }
 
-/// Spawns `task` on the pool and returns a handle that yields its output;
-/// dropping the handle cancels the task.
+/// Spawns `task` on the pool and returns a handle that yields its output. Dropping the handle
+/// cancels the task.
 pub fn spawn_joined<F, T>(task: F) -> smol::Task<T>
 where
     F: Future<Output = T> + Send + 'static,
@@ -45,7 +45,7 @@
     WORKERS.spawn(task)
 }
 
-/// Runs `main` to its end on the calling thread, which also works the pool.
+/// Runs `main` to its end on the calling thread, which also runs tasks of the pool meanwhile.
 pub fn block_on<F: Future>(main: F) -> F::Output {
     smol::block_on(WORKERS.run(main))
 }
--- a/crates/wire/src/reply.rs
+++ b/crates/wire/src/reply.rs
@@ -1,4 +1,4 @@
-//! Response bodies: a whole body or a stream of chunks fed by a channel.
+//! HTTP responses with a complete body or with a body that is streamed from a channel.
 
 use std::convert::Infallible;
 
@@ -13,23 +13,23 @@
 use hyper::body::Frame;
 use serde::Serialize;
 
-/// One chunk of a streamed body.
+/// One chunk of a streamed response body.
 pub type BodyChunk = Result<Frame<Bytes>, Infallible>;
-/// The sending half of a streamed body; dropping it ends the body.
+/// The sending half of a streamed response body. Dropping it ends the body.
 pub type ChunkSender = async_channel::Sender<BodyChunk>;
-/// A body that is either sent whole or streamed chunk by chunk.
+/// A response body that is either complete or streamed in chunks.
 pub type ReplyBody = Either<Full<Bytes>, StreamBody<async_channel::Receiver<BodyChunk>>>;
 
-/// How many chunks a streamed body buffers before the sender waits.
+/// The number of chunks that a streamed body buffers before its sender has to wait.
 const STREAM_BUFFER_CHUNKS: usize = 64;
 
-/// A JSON response with `status` and the serialised `value`.
+/// Returns a response with `status` and `value` serialised as JSON.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<ReplyBody> {
     let body = serde_json::to_vec(value).expect("serialising a reply never fails");
     full(status, "application/json", Bytes::from(body))
 }
 
-/// A response carrying `body` whole, with the given content type.
+/// Returns a response with `status`, `content_type` and the complete `body`.
 pub fn full(status: StatusCode, content_type: &'static str, body: Bytes) -> Response<ReplyBody> {
     let mut response = Response::new(Either::Left(Full::new(body)));
     *response.status_mut() = status;
@@ -37,8 +37,8 @@
     response
 }
 
-/// A JSON error body `{"error": {"message", "type"}}` in the OpenAI shape,
-/// with `Retry-After` when the caller should come back later.
+/// Returns an error response with the JSON body `{"error": {"message", "type"}}` of the OpenAI
+/// API, and with a `Retry-After` header when `retry_after_s` is given.
 pub fn rejection(
     status: StatusCode,
     kind: &str,
@@ -53,7 +53,7 @@
     response
 }
 
-/// A streamed response and the sender that feeds it.
+/// Returns a streamed response and the sender of its body.
 pub fn stream(
     status: StatusCode,
     content_type: &'static str,
@@ -65,8 +65,8 @@
     (sender, response)
 }
 
-/// Sends `bytes` as the next chunk; false when the receiver (the caller's
-/// connection) is gone.
+/// Sends `bytes` as the next chunk. Returns false when the receiver, the caller's connection, is
+/// closed.
 pub async fn send_chunk(sender: &ChunkSender, bytes: Bytes) -> bool {
     sender.send(Ok(Frame::data(bytes))).await.is_ok()
 }
--- a/crates/wire/src/server.rs
+++ b/crates/wire/src/server.rs
@@ -1,5 +1,4 @@
-//! The HTTP server loop: accepts connections and hands each request to a
-//! [`RequestHandler`].
+//! The HTTP server: accepts connections and passes each request to a [`RequestHandler`].
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,22 +23,21 @@
 use crate::reply;
 use crate::reply::ReplyBody;
 
-/// How long a connection may take to send its request headers. Guards
-/// against connections that go silent for good: without it such a
-/// connection would hold a task forever.
+/// The time limit for receiving the request headers. Without it, a connection that stops sending
+/// would hold a task until the process stops.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a whole request body may take to arrive: the same guard for a
-/// connection that went silent after its headers.
+/// The time limit for receiving the complete request body, for connections that stop sending
+/// after the headers.
 const BODY_READ_TIMEOUT: Duration = Duration::from_secs(10);
-/// The largest request body any of our servers reads, in bytes.
+/// The largest request body that any umberglade server accepts, in bytes.
 pub const MAX_BODY_BYTES: usize = 4 * 1024 * 1024;
 
-/// Something that turns one request into one response.
+/// Responds to HTTP requests. Implemented by the daemon and by each stand-in.
 ///
-/// Implemented by the daemon and by each stand-in; generic, so no `dyn`
-/// sits on the request path.
+/// Servers are generic over the handler, which avoids dynamic dispatch (`dyn`) on the request
+/// path.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Answers `request`; `peer` is the caller's address.
+    /// Returns the response to `request`. `peer` is the address of the caller.
     fn handle(
         &self,
         request: Request<Incoming>,
@@ -47,16 +45,16 @@
     ) -> impl Future<Output = Response<ReplyBody>> + Send;
 }
 
-/// Binds `listen` and returns the listener with its bound address (useful
-/// when `listen` asks for port 0).
+/// Binds `listen` and returns the listener with the address it is bound to, which shows the port
+/// in use when `listen` has port 0.
 pub async fn bind(listen: SocketAddr) -> std::io::Result<(TcpListener, SocketAddr)> {
     let listener = TcpListener::bind(listen).await?;
     let local = listener.local_addr()?;
     Ok((listener, local))
 }
 
-/// Accepts connections on `listener` until the process ends, serving each
-/// on the worker pool with `handler`.
+/// Accepts connections on `listener` until the process stops, and serves each with `handler` on
+/// the worker pool.
 pub async fn serve<H: RequestHandler>(listener: TcpListener, handler: Arc<H>) {
     loop {
         let (stream, peer) = match listener.accept().await {
@@ -83,8 +81,8 @@
     }
 }
 
-/// Reads a whole request body of at most [`MAX_BODY_BYTES`], within
-/// [`BODY_READ_TIMEOUT`].
+/// Reads a complete request body of at most [`MAX_BODY_BYTES`] within `BODY_READ_TIMEOUT`. The
+/// error is a message for the caller.
 pub async fn read_body(body: Incoming) -> Result<Bytes, String> {
     let read = async {
         match Limited::new(body, MAX_BODY_BYTES).collect().await {
@@ -99,12 +97,12 @@
     read.or(timed_out).await
 }
 
-/// Like [`read_body`] for a stand-in: the error is the 400 to answer.
+/// Reads a request body like [`read_body`], for stand-ins. The error is a 400 response.
 pub async fn read_body_or_reject(body: Incoming) -> Result<Bytes, Response<ReplyBody>> {
     read_body(body).await.map_err(|message| bad_request(&message))
 }
 
-/// The JSON value in `body`; the error is the 400 to answer.
+/// Parses `body` as JSON. The error is a 400 response.
 pub fn parse_or_reject<T: DeserializeOwned>(body: &[u8]) -> Result<T, Response<ReplyBody>> {
     serde_json::from_slice(body).map_err(|error| bad_request(&error.to_string()))
 }
