--- a/crates/router/src/leader/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -7,9 +7,9 @@
 use umberglade_wire::ids::DaemonId;
 use umberglade_wire::ids::Fence;
 use umberglade_wire::ids::RowVersion;
-use umberglade_wire::platform::DUTY_KEY;
-use umberglade_wire::platform::DUTY_TABLE;
-use umberglade_wire::platform::DutyRecord;
+use umberglade_wire::platform::LEADER_KEY;
+use umberglade_wire::platform::LEADER_TABLE;
+use umberglade_wire::platform::LeaderRecord;
 
 use crate::events;
 use crate::platform::PlatformClient;
@@ -63,13 +63,13 @@
     /// Renews the lease if this daemon holds it and acquires it if it has expired.
     pub async fn acquire_or_renew(&mut self) -> Result<(), WireError> {
         let started_at = Instant::now();
-        let list = self.platform.list(DUTY_TABLE).await?;
-        let row = list.rows.into_iter().find(|row| row.key == DUTY_KEY);
+        let list = self.platform.list(LEADER_TABLE).await?;
+        let row = list.rows.into_iter().find(|row| row.key == LEADER_KEY);
         let Some(row) = row else {
             return self.write(0, started_at).await;
         };
         let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
-        let is_ours = serde_json::from_value::<DutyRecord>(row.value)
+        let is_ours = serde_json::from_value::<LeaderRecord>(row.value)
             .is_ok_and(|record| record == self.record());
         if is_ours || age >= self.lease {
             return self.write(row.version, started_at).await;
@@ -80,7 +80,7 @@
 
     async fn write(&mut self, expect: RowVersion, started_at: Instant) -> Result<(), WireError> {
         let outcome =
-            self.platform.put_checked(DUTY_TABLE, DUTY_KEY, expect, &self.record()).await?;
+            self.platform.put_checked(LEADER_TABLE, LEADER_KEY, expect, &self.record()).await?;
         match outcome {
             WriteOutcome::Written(row) => {
                 if self.held.is_none() {
@@ -104,7 +104,7 @@
         }
     }
 
-    fn record(&self) -> DutyRecord {
-        DutyRecord { holder: self.daemon.clone(), incarnation: self.incarnation }
+    fn record(&self) -> LeaderRecord {
+        LeaderRecord { holder: self.daemon.clone(), incarnation: self.incarnation }
     }
 }
--- a/crates/router/src/platform/feed.rs
+++ b/crates/router/src/platform/feed.rs
@@ -8,8 +8,8 @@
 use snafu::ResultExt;
 use umberglade_wire::WireError;
 use umberglade_wire::error::DecodeSnafu;
-use umberglade_wire::kept::KeptClient;
-use umberglade_wire::kept::KeptReply;
+use umberglade_wire::keep_alive::BufferedResponse;
+use umberglade_wire::keep_alive::KeepAliveClient;
 use umberglade_wire::platform::FeedPage;
 use umberglade_wire::platform::InstanceList;
 
@@ -19,7 +19,7 @@
 /// The feed of changed rows of one table.
 #[derive(Debug)]
 pub struct TableFeed {
-    client: KeptClient,
+    client: KeepAliveClient,
     table: &'static str,
     /// The generation last read; 0 requests all rows.
     generation: u64,
@@ -28,7 +28,7 @@
 impl TableFeed {
     /// Creates a feed of `table` from its beginning, at the platform at `addr`.
     pub fn new(addr: impl Into<String>, table: &'static str) -> Self {
-        TableFeed { client: KeptClient::new(addr), table, generation: 0 }
+        TableFeed { client: KeepAliveClient::new(addr), table, generation: 0 }
     }
 
     /// Returns the next changed rows, or none after `wait` without a change.
@@ -57,14 +57,14 @@
 /// The feed of changes of the instance list.
 #[derive(Debug)]
 pub struct InstanceFeed {
-    client: KeptClient,
+    client: KeepAliveClient,
     generation: u64,
 }
 
 impl InstanceFeed {
     /// Creates a feed of the instance list at the platform at `addr`.
     pub fn new(addr: impl Into<String>) -> Self {
-        InstanceFeed { client: KeptClient::new(addr), generation: 0 }
+        InstanceFeed { client: KeepAliveClient::new(addr), generation: 0 }
     }
 
     /// Returns the next changes, or the full list if the platform does not know the generation.
@@ -81,7 +81,7 @@
 fn parse<T: DeserializeOwned>(
     step: &'static str,
     peer: &str,
-    reply: KeptReply,
+    reply: BufferedResponse,
 ) -> Result<T, WireError> {
     if !reply.status.is_success() {
         return Err(WireError::Status {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -1,11 +1,11 @@
 //! The engine stand-in: a prefill or decode server of the engine protocol
 //! ([`umberglade_wire::engine`]).
 //!
-//! It holds at most `slots` requests, computes prefill at a cost per
-//! token less what its prefix cache already has, exports KV caches that
-//! are evicted if not fetched in time, streams tokens at the pace of its
-//! batch, obeys cancels and orders, reports its load late, and refuses old
-//! fencing numbers when so configured.
+//! It admits at most `slots` requests at once. Prefill takes a fixed time per prompt token that is
+//! not in the prefix cache. Exported KV caches are evicted when they are not fetched in time.
+//! Tokens are streamed at a rate that depends on the size of the batch. Load reports are out of
+//! date. Cancel and engine orders are executed, and old fencing tokens are rejected if so
+//! configured.
 
 mod config;
 mod decode;
@@ -47,23 +47,23 @@
 use umberglade_wire::reply;
 use umberglade_wire::reply::ReplyBody;
 use umberglade_wire::server::RequestHandler;
-use umberglade_wire::server::parse_or_refuse;
-use umberglade_wire::server::read_body_or_refuse;
+use umberglade_wire::server::parse_or_reject;
+use umberglade_wire::server::read_body_or_reject;
 
 pub use self::config::DEFAULT_SLOTS;
 pub use self::config::EngineConfig;
 pub use self::decode::answer_token;
+use self::state::ActiveRequest;
 use self::state::EngineState;
-use self::state::HeldRequest;
 
-/// Seconds a refused caller is told to wait.
+/// The `Retry-After` of rejections, in seconds.
 const RETRY_AFTER_S: u64 = 1;
-/// How long an injected silence lasts: longer than any timeout.
-const SILENCE: Duration = Duration::from_secs(60);
-/// Bound on entering the platform's instance list.
+/// How long an injected stall lasts: longer than any timeout of a daemon.
+const STALL_DURATION: Duration = Duration::from_secs(60);
+/// The timeout for registering in the instance list of the platform.
 const REGISTER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An engine stand-in; cheap to clone, all clones share one state.
+/// An engine stand-in. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct EngineStandin {
     shared: Arc<EngineShared>,
@@ -73,36 +73,35 @@
 struct EngineShared {
     config: EngineConfig,
     started: Instant,
-    /// Where it listens, once known.
+    /// The address on which it listens, once known.
     addr: OnceLock<SocketAddr>,
-    /// Lock order: `state` before `load`; never the other way.
+    /// Lock order: `state` before `load`.
     state: Mutex<EngineState>,
-    /// The last load report and when it was taken; refreshed only after
-    /// `load_lag`, so readers see old figures as real engines give them.
+    /// The last load report and when it was taken. It is refreshed only after `load_lag`, so that
+    /// readers get figures that are out of date, as from real engines.
     load: Mutex<Option<(Instant, LoadReport)>>,
     /// Notified when the prefill queue changes.
-    prefill_moved: Event,
-    /// KV transfers leave one after another.
+    prefill_queue_changed: Event,
+    /// Held during a KV cache transfer, so that transfers run one after another.
     link: smol::lock::Mutex<()>,
 }
 
-/// Removes its request from the held table when dropped, whether the
-/// worker finished, failed or its caller went away: the memory a request
-/// holds is freed on every path out of its worker.
-struct HeldGuard {
+/// Removes its request from the active requests when dropped, so that the memory of the request is
+/// freed whether its worker completes, fails or loses its caller.
+struct SlotGuard {
     shared: Arc<EngineShared>,
     request_id: RequestId,
 }
 
-impl Drop for HeldGuard {
+impl Drop for SlotGuard {
     fn drop(&mut self) {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        state.held.remove(&self.request_id);
+        state.active_requests.remove(&self.request_id);
     }
 }
 
 impl EngineStandin {
-    /// A stand-in with `config`, holding nothing yet.
+    /// Creates a stand-in with `config` and without requests.
     pub fn new(config: EngineConfig) -> Self {
         let shared = EngineShared {
             state: Mutex::new(EngineState::new(&config)),
@@ -110,19 +109,19 @@
             started: Instant::now(),
             addr: OnceLock::new(),
             load: Mutex::new(None),
-            prefill_moved: Event::new(),
+            prefill_queue_changed: Event::new(),
             link: smol::lock::Mutex::new(()),
         };
         EngineStandin { shared: Arc::new(shared) }
     }
 
-    /// Tells the stand-in where it listens, for the instance list.
-    pub fn listens_on(&self, addr: SocketAddr) {
+    /// Sets the address on which the stand-in listens, for the instance list.
+    pub fn set_listen_addr(&self, addr: SocketAddr) {
         let _ = self.shared.addr.set(addr);
     }
 
-    /// Enters the engine, as it is now, in the platform's instance list;
-    /// nothing to do when it has no platform or address.
+    /// Registers the engine with its current role and model in the platform's instance list. Does
+    /// nothing when no platform is configured or the listen address is unknown.
     pub async fn register(&self, instance_state: InstanceState) {
         let config = &self.shared.config;
         let (Some(platform), Some(addr)) = (&config.register_with, self.shared.addr.get()) else {
@@ -144,25 +143,25 @@
         register(platform, &entry).await;
     }
 
-    /// Refuses new work from now on, and waits until the engine holds no
-    /// request: a planned stop cuts nothing in flight.
+    /// Rejects new work from now on and waits until no request is in flight, so that a planned stop
+    /// does not interrupt requests.
     ///
-    /// Guards against a stop that never ends, or cuts a request: under load
-    /// there is seldom a moment without work, and a request may come between
-    /// such a moment and the end of the process.
-    pub async fn run_empty(&self) {
+    /// Without the rejection, a stop might never end or might interrupt a request: under load there
+    /// is seldom a moment without work, and a request may arrive between such a moment and the end
+    /// of the process.
+    pub async fn drain(&self) {
         self.shared.state.lock().expect("engine state lock").leaving = true;
-        while !self.shared.state.lock().expect("engine state lock").held.is_empty() {
+        while !self.shared.state.lock().expect("engine state lock").active_requests.is_empty() {
             smol::Timer::after(Duration::from_millis(20)).await;
         }
     }
 
-    /// This stand-in's settings.
+    /// Returns the settings of this stand-in.
     pub fn config(&self) -> &EngineConfig {
         &self.shared.config
     }
 
-    /// Injects `faults` from now on.
+    /// Replaces the injected faults by `faults`.
     pub fn set_faults(&self, faults: EngineFaults) {
         self.shared.state.lock().expect("engine state lock").faults = faults;
     }
@@ -180,12 +179,12 @@
     ) -> Result<Response<ReplyBody>, Response<ReplyBody>> {
         let segments: Vec<&str> = path.trim_matches('/').split('/').collect();
         let response = match (method, segments.as_slice()) {
-            (&Method::POST, ["v1", "prefill"]) => self.prefill(parse_or_refuse(&body)?).await,
-            (&Method::POST, ["v1", "decode"]) => self.decode(parse_or_refuse(&body)?).await,
-            (&Method::POST, ["v1", "cancel"]) => self.cancel(parse_or_refuse(&body)?),
-            (&Method::POST, ["v1", "order"]) => self.order(parse_or_refuse(&body)?).await,
+            (&Method::POST, ["v1", "prefill"]) => self.prefill(parse_or_reject(&body)?).await,
+            (&Method::POST, ["v1", "decode"]) => self.decode(parse_or_reject(&body)?).await,
+            (&Method::POST, ["v1", "cancel"]) => self.cancel(parse_or_reject(&body)?),
+            (&Method::POST, ["v1", "order"]) => self.order(parse_or_reject(&body)?).await,
             (&Method::POST, ["v1", "faults"]) => {
-                let faults: EngineFaults = parse_or_refuse(&body)?;
+                let faults: EngineFaults = parse_or_reject(&body)?;
                 self.set_faults(faults.clone());
                 reply::json(StatusCode::OK, &faults)
             }
@@ -195,16 +194,16 @@
             (&Method::GET, ["v1", "cache-events"]) => self.cache_events(query),
             (&Method::GET, ["v1", "stats"]) => {
                 let mut state = self.shared.state.lock().expect("engine state lock");
-                state.sweep(Instant::now());
+                state.evict_expired_exports(Instant::now());
                 reply::json(StatusCode::OK, &state.snapshot())
             }
-            _ => reply::refusal(StatusCode::NOT_FOUND, "not_found", "no such route", None),
+            _ => reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such route", None),
         };
         Ok(response)
     }
 
-    /// Like [`EngineStandin::route`], but the work goes on when the caller
-    /// of this future goes away.
+    /// Routes a request like [`EngineStandin::route`], but in a task of its own that continues when
+    /// this future is dropped.
     async fn route_detached(
         &self,
         method: &Method,
@@ -218,27 +217,27 @@
         pool::spawn(async move {
             let _ = sender.send(engine.route(&method, &path, &query, body).await).await;
         });
-        receiver.recv().await.expect("the detached route always answers")
+        receiver.recv().await.expect("the detached route always sends a response")
     }
 
-    /// Admits `request_id` if this engine serves `role`, a slot is free and
-    /// `fence` is not stale; returns the guard that frees it, or the refusal.
+    /// Admits `request_id` if this engine serves `role`, a slot is free and `fence` is not stale.
+    /// Returns the guard that frees the slot and the flag that a cancel sets, or the rejection.
     fn admit(
         &self,
         request_id: &RequestId,
         fence: Fence,
         role: EngineRole,
-    ) -> Result<(HeldGuard, Arc<AtomicBool>), Response<ReplyBody>> {
+    ) -> Result<(SlotGuard, Arc<AtomicBool>), Response<ReplyBody>> {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        state.sweep(Instant::now());
+        state.evict_expired_exports(Instant::now());
         if fence < state.highest_fence && self.shared.config.checks_fence {
             state.stats.fenced_off += 1;
             let message = format!("fence {fence} is older than {}", state.highest_fence);
-            return Err(reply::refusal(StatusCode::CONFLICT, "stale_fence", &message, None));
+            return Err(reply::rejection(StatusCode::CONFLICT, "stale_fence", &message, None));
         }
         if state.role != role {
             let message = format!("this server's role is {}", state.role);
-            return Err(reply::refusal(
+            return Err(reply::rejection(
                 StatusCode::MISDIRECTED_REQUEST,
                 "wrong_role",
                 &message,
@@ -246,17 +245,17 @@
             ));
         }
         state.highest_fence = state.highest_fence.max(fence);
-        let is_full = state.held.len() as u32 >= self.shared.config.slots;
+        let is_full = state.active_requests.len() as u32 >= self.shared.config.slots;
         if state.busy || state.leaving || state.faults.down || is_full {
-            return Err(reply::refusal(
+            return Err(reply::rejection(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "engine_full",
                 "no free slot",
                 Some(RETRY_AFTER_S),
             ));
         }
-        if state.held.contains_key(request_id) {
-            return Err(reply::refusal(
+        if state.active_requests.contains_key(request_id) {
+            return Err(reply::rejection(
                 StatusCode::CONFLICT,
                 "duplicate",
                 "request already held",
@@ -264,18 +263,20 @@
             ));
         }
         let cancelled = Arc::new(AtomicBool::new(false));
-        state.held.insert(request_id.clone(), HeldRequest { cancelled: cancelled.clone() });
-        let guard = HeldGuard { shared: self.shared.clone(), request_id: request_id.clone() };
+        state
+            .active_requests
+            .insert(request_id.clone(), ActiveRequest { cancelled: cancelled.clone() });
+        let guard = SlotGuard { shared: self.shared.clone(), request_id: request_id.clone() };
         Ok((guard, cancelled))
     }
 
     fn cancel(&self, order: CancelOrder) -> Response<ReplyBody> {
         let mut state = self.shared.state.lock().expect("engine state lock");
-        let held = state.held.get(&order.request_id);
-        if let Some(held) = held {
-            held.cancelled.store(true, Ordering::Release);
+        let request = state.active_requests.get(&order.request_id);
+        if let Some(request) = request {
+            request.cancelled.store(true, Ordering::Release);
         }
-        let freed = held.is_some();
+        let freed = request.is_some();
         let export = state.exports.iter().find(|(_, export)| export.request_id == order.request_id);
         let export = export.map(|(handle, _)| *handle);
         if let Some(removed) = export.and_then(|handle| state.exports.remove(&handle)) {
@@ -295,15 +296,15 @@
         let now = Instant::now();
         let state = self.shared.state.lock().expect("engine state lock");
         let mut load = self.shared.load.lock().expect("engine load lock");
-        if let Some((taken, report)) = load.as_ref()
-            && now.duration_since(*taken) < self.shared.config.load_lag
+        if let Some((taken_at, report)) = load.as_ref()
+            && now.duration_since(*taken_at) < self.shared.config.load_lag
         {
             return report.clone();
         }
         let report = LoadReport {
             server: self.shared.config.server.clone(),
             role: state.role,
-            running: state.held.len() as u32,
+            running: state.active_requests.len() as u32,
             waiting: 0,
             slots: self.shared.config.slots,
             queued_tokens: state.queued_tokens,
@@ -317,9 +318,9 @@
 impl RequestHandler for EngineStandin {
     async fn handle(&self, request: Request<Incoming>, _peer: SocketAddr) -> Response<ReplyBody> {
         let (parts, body) = request.into_parts();
-        let body = match read_body_or_refuse(body).await {
+        let body = match read_body_or_reject(body).await {
             Ok(body) => body,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let query = parts.uri.query().unwrap_or_default();
         let (method, path) = (&parts.method, parts.uri.path());
@@ -328,7 +329,7 @@
         } else {
             self.route(method, path, query, body).await
         };
-        let mut response = routed.unwrap_or_else(|refusal| refusal);
+        let mut response = routed.unwrap_or_else(|rejection| rejection);
         let sample = LoadSample::from(&self.load()).to_string();
         if let Ok(value) = HeaderValue::from_str(&sample) {
             response.headers_mut().insert(LOAD_HEADER, value);
@@ -337,7 +338,7 @@
     }
 }
 
-/// Enters `entry` in the instance list of the platform at `platform`.
+/// Registers `entry` in the instance list of the platform at the address `platform`.
 pub async fn register(platform: &str, entry: &InstanceEntry) {
     let client = HttpClient::new(platform, REGISTER_TIMEOUT);
     let path = format!("/v1/instances/{}", entry.server);
--- a/crates/standin/src/engine/prefix_cache.rs
+++ b/crates/standin/src/engine/prefix_cache.rs
@@ -1,5 +1,5 @@
-//! The prefix cache of an engine stand-in: limited memory, entries gone
-//! under a second after their last use, and the events that tell of it.
+//! The prefix cache of an engine stand-in: entries expire under a second after their last use, the
+//! memory is limited, and events report each change.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use umberglade_wire::engine::CacheEvent;
 use umberglade_wire::engine::CacheEventPage;
 
-/// Events kept for readers; older ones are lost.
-const EVENTS_KEPT: usize = 256;
-/// Every so-manieth event never appears: real engines leave gaps.
-const EVENT_GAP: u64 = 16;
+/// The maximum number of events retained for readers; older ones are dropped.
+const MAX_RETAINED_EVENTS: usize = 256;
+/// One of this many events is never published, as real engines leave gaps too.
+const DROPPED_EVENT_INTERVAL: u64 = 16;
 
 #[derive(Debug)]
 struct CachedPrefix {
@@ -26,23 +26,23 @@
     event: CacheEvent,
 }
 
-/// Prefixes whose KV cache the engine still has.
+/// The prefixes whose KV cache the engine has.
 #[derive(Debug)]
 pub struct PrefixCache {
-    keep: Duration,
+    ttl: Duration,
     capacity_tokens: u64,
     event_lag: Duration,
     prefixes: HashMap<u64, CachedPrefix>,
     next_sequence: u64,
-    /// Invariant: sequences grow from front to back.
+    /// Invariant: sequence numbers grow from front to back.
     events: Vec<PublishedEvent>,
 }
 
 impl PrefixCache {
-    /// An empty cache whose entries live `keep` after their last use.
-    pub fn new(keep: Duration, capacity_tokens: u64, event_lag: Duration) -> Self {
+    /// Creates an empty cache whose entries expire `ttl` after their last use.
+    pub fn new(ttl: Duration, capacity_tokens: u64, event_lag: Duration) -> Self {
         PrefixCache {
-            keep,
+            ttl,
             capacity_tokens,
             event_lag,
             prefixes: HashMap::new(),
@@ -51,9 +51,9 @@
         }
     }
 
-    /// Tokens of `prefix_hash` that need no computing now; touches it.
+    /// Returns the number of cached tokens of `prefix_hash` and marks the prefix as used.
     pub fn lookup(&mut self, prefix_hash: u64, now: Instant) -> u32 {
-        self.evict_old(now);
+        self.evict_expired(now);
         match self.prefixes.get_mut(&prefix_hash) {
             Some(prefix) => {
                 prefix.last_used = now;
@@ -63,14 +63,15 @@
         }
     }
 
-    /// Keeps `tokens` of `prefix_hash`; the least recently used yield.
+    /// Adds `tokens` of `prefix_hash`, and evicts the least recently used prefixes until the cache
+    /// is within its capacity or has one prefix left.
     pub fn insert(&mut self, prefix_hash: u64, tokens: u32, now: Instant) {
-        self.evict_old(now);
-        let known = self.prefixes.insert(prefix_hash, CachedPrefix { tokens, last_used: now });
-        if known.is_none() {
+        self.evict_expired(now);
+        let previous = self.prefixes.insert(prefix_hash, CachedPrefix { tokens, last_used: now });
+        if previous.is_none() {
             self.publish(CacheChange::Added, prefix_hash, now);
         }
-        while self.held_tokens() > self.capacity_tokens && self.prefixes.len() > 1 {
+        while self.total_tokens() > self.capacity_tokens && self.prefixes.len() > 1 {
             let oldest = self.prefixes.iter().min_by_key(|(_, prefix)| prefix.last_used);
             let Some(hash) = oldest.map(|(hash, _)| *hash) else {
                 break;
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The events after `since` that are published by now.
+    /// Returns the events after `since` that are published by `now`.
     pub fn events_since(&self, since: u64, now: Instant) -> CacheEventPage {
         let published: Vec<CacheEvent> = self
             .events
@@ -93,19 +94,19 @@
         CacheEventPage { next, lost, events: published }
     }
 
-    fn held_tokens(&self) -> u64 {
+    fn total_tokens(&self) -> u64 {
         self.prefixes.values().map(|prefix| u64::from(prefix.tokens)).sum()
     }
 
-    fn evict_old(&mut self, now: Instant) {
-        let keep = self.keep;
-        let old: Vec<u64> = self
+    fn evict_expired(&mut self, now: Instant) {
+        let ttl = self.ttl;
+        let expired: Vec<u64> = self
             .prefixes
             .iter()
-            .filter(|(_, prefix)| now.duration_since(prefix.last_used) >= keep)
+            .filter(|(_, prefix)| now.duration_since(prefix.last_used) >= ttl)
             .map(|(hash, _)| *hash)
             .collect();
-        for hash in old {
+        for hash in expired {
             self.remove(hash, now);
         }
     }
@@ -118,10 +119,10 @@
     fn publish(&mut self, change: CacheChange, prefix_hash: u64, now: Instant) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
-        if sequence.is_multiple_of(EVENT_GAP) {
+        if sequence.is_multiple_of(DROPPED_EVENT_INTERVAL) {
             return;
         }
-        if self.events.len() == EVENTS_KEPT {
+        if self.events.len() == MAX_RETAINED_EVENTS {
             self.events.remove(0);
         }
         let event = CacheEvent { sequence, change, prefix_hash };
--- a/crates/standin/tests/contracts.rs
+++ b/crates/standin/tests/contracts.rs
@@ -1,5 +1,5 @@
-//! Contracts of the engine, platform and plain-service interfaces: what
-//! each call answers, faults included.
+//! Contract tests of the engine, platform and plain-service interfaces: the response to each call,
+//! also with injected faults.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,17 +17,16 @@
 use umberglade_wire::server;
 use umberglade_wire::server::RequestHandler;
 
-/// One call of a session and what must come back; calls of a table run in
-/// order on one stand-in.
+/// One call and the expected response. The calls of a test run in order on the same stand-in.
 struct CallCase {
     name: &'static str,
     method: Method,
     path: &'static str,
     body: &'static str,
-    /// 0: no answer within the client's timeout.
+    /// The expected status; 0 for no response within the client's timeout.
     status: u16,
-    /// Text the body must contain.
-    says: &'static str,
+    /// The text that the body must contain.
+    body_contains: &'static str,
 }
 
 const GET: Method = Method::GET;
@@ -41,14 +40,14 @@
     path: &'static str,
     body: &'static str,
     status: u16,
-    says: &'static str,
+    body_contains: &'static str,
 ) -> CallCase {
-    CallCase { name, method, path, body, status, says }
+    CallCase { name, method, path, body, status, body_contains }
 }
 
 async fn serve<H: RequestHandler>(handler: H) -> String {
-    let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-    let (listener, local) = server::bind(any).await.unwrap();
+    let listen: SocketAddr = "127.0.0.1:0".parse().unwrap();
+    let (listener, local) = server::bind(listen).await.unwrap();
     pool::spawn(server::serve(listener, Arc::new(handler)));
     local.to_string()
 }
@@ -58,16 +57,16 @@
     for case in cases {
         let sent = client.send("contract", case.method, case.path, Some(case.body.into())).await;
         let Ok(response) = sent else {
-            assert_eq!(case.status, 0, "{}: no answer", case.name);
+            assert_eq!(case.status, 0, "{}: no response", case.name);
             continue;
         };
         let status = response.status().as_u16();
-        let body = match client.read_whole("contract", response).await {
+        let body = match client.read_full_body("contract", response).await {
             Ok(body) => String::from_utf8_lossy(&body).into_owned(),
             Err(error) => error.to_string(),
         };
         assert_eq!(status, case.status, "{}: {body}", case.name);
-        assert!(body.contains(case.says), "{}: {body}", case.name);
+        assert!(body.contains(case.body_contains), "{}: {body}", case.name);
     }
 }
 
@@ -134,20 +133,20 @@
 }
 
 #[test]
-fn platform_refuses_past_its_rate() {
+fn platform_rejects_calls_over_its_rate() {
     pool::block_on(async {
         let config = PlatformConfig { reads_per_second: 5, ..PlatformConfig::default() };
         let addr = serve(PlatformStandin::new(config)).await;
         let client = HttpClient::new(addr, Duration::from_secs(1));
-        let mut refused = 0;
+        let mut rejected = 0;
         for _ in 0..20 {
             let response = client.send("read", GET, "/v1/rows/t", None).await.unwrap();
             if response.status().as_u16() == 429 {
                 assert!(umberglade_wire::client::retry_after(&response).is_some());
-                refused += 1;
+                rejected += 1;
             }
         }
-        assert!(refused >= 10, "{refused} of 20 refused at 5 a second");
+        assert!(rejected >= 10, "{rejected} of 20 rejected at 5 a second");
     });
 }
 
@@ -188,16 +187,15 @@
     });
 }
 
-/// A server is stopped by plan while callers keep asking. It must refuse
-/// what comes from then on, or it never runs empty: under load a caller's
-/// next request arrives before the last one has ended.
+/// A planned stop must reject new requests, or the server never becomes idle: under load the next
+/// request of a caller arrives before the last one has ended.
 #[test]
 fn a_leaving_engine_takes_no_new_work() {
     pool::block_on(async {
         let engine = EngineStandin::new(EngineConfig::new("p", EngineRole::Prefill, "m"));
         let addr = serve(engine.clone()).await;
         check(&addr, vec![case("before", POST, "/v1/prefill", PREFILL, 200, "")]).await;
-        engine.run_empty().await;
+        engine.drain().await;
         let cases = vec![
             case("refused", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
             case("holds nothing", GET, "/v1/stats", "", 200, r#""held_requests":0"#),
@@ -206,8 +204,7 @@
     });
 }
 
-/// A decode server told to fetch a KV cache that is not there says so and
-/// holds nothing.
+/// A decode server that cannot fetch the KV cache returns an error and frees the request's slot.
 #[test]
 fn decode_without_its_kv_cache_holds_nothing() {
     pool::block_on(async {
--- a/crates/wire/src/kept.rs
+++ b/crates/wire/src/keep_alive.rs
@@ -1,4 +1,4 @@
-//! A client that keeps its connection open between exchanges.
+//! An HTTP client that reuses its keep-alive connection.
 
 use std::time::Duration;
 
@@ -12,52 +12,51 @@
 use snafu::ResultExt;
 
 use crate::client::HttpClient;
-use crate::client::within;
+use crate::client::with_timeout;
 use crate::error::HttpSnafu;
 use crate::error::WireError;
 
-/// A whole answer: its status and body.
+/// The status and the complete body of a response.
 #[derive(Debug, Clone)]
-pub struct KeptReply {
+pub struct BufferedResponse {
     pub status: StatusCode,
     pub body: Bytes,
 }
 
-/// One peer, one connection, one exchange at a time; for reads that are
-/// repeated for as long as the process lives.
+/// An HTTP client with one peer, one keep-alive connection and one exchange at a time, for reads
+/// that are repeated until the process stops.
 ///
-/// Guards against a kept connection that has gone silent for good: each
-/// exchange is bounded by its own timeout, and whatever fails drops the
-/// connection, so the next exchange begins on a fresh one.
+/// Prevents stalls on a connection that does not respond any more: each exchange has its own
+/// timeout, and any failure drops the connection, so that the next exchange opens a new one.
 #[derive(Debug)]
-pub struct KeptClient {
+pub struct KeepAliveClient {
     http: HttpClient,
     sender: Option<SendRequest<Full<Bytes>>>,
 }
 
-impl KeptClient {
-    /// A client for `peer` (`"127.0.0.1:7100"`), not connected yet.
+impl KeepAliveClient {
+    /// Creates an unconnected client for `peer` (for example `"127.0.0.1:7100"`).
     pub fn new(peer: impl Into<String>) -> Self {
-        KeptClient { http: HttpClient::new(peer, Duration::MAX), sender: None }
+        KeepAliveClient { http: HttpClient::new(peer, Duration::MAX), sender: None }
     }
 
-    /// The peer's address.
+    /// Returns the address of the peer as `host:port`.
     pub fn peer(&self) -> &str {
         &self.http.peer
     }
 
-    /// Reads `path` whole within `timeout`. `step` names the exchange in
-    /// errors.
+    /// Sends a `GET` for `path` and reads the complete response within `timeout`. `step` names the
+    /// exchange in errors.
     pub async fn get(
         &mut self,
         step: &'static str,
         path: &str,
         timeout: Duration,
-    ) -> Result<KeptReply, WireError> {
+    ) -> Result<BufferedResponse, WireError> {
         self.call(step, Method::GET, path, Bytes::new(), timeout).await
     }
 
-    /// Like [`KeptClient::get`] with any method and body.
+    /// Sends any method and body, otherwise like [`KeepAliveClient::get`].
     pub async fn call(
         &mut self,
         step: &'static str,
@@ -65,8 +64,8 @@
         path: &str,
         body: Bytes,
         timeout: Duration,
-    ) -> Result<KeptReply, WireError> {
-        let kept = self.sender.take().filter(|sender| !sender.is_closed());
+    ) -> Result<BufferedResponse, WireError> {
+        let open_sender = self.sender.take().filter(|sender| !sender.is_closed());
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -74,8 +73,8 @@
             .header(http::header::CONTENT_TYPE, "application/json")
             .body(Full::new(body))
             .expect("a request built from a valid path");
-        let exchange = exchange(&self.http, kept, step, request);
-        let (sender, reply) = within(step, &self.http.peer, timeout, exchange).await?;
+        let exchange = exchange(&self.http, open_sender, step, request);
+        let (sender, reply) = with_timeout(step, &self.http.peer, timeout, exchange).await?;
         self.sender = Some(sender);
         Ok(reply)
     }
@@ -83,17 +82,17 @@
 
 async fn exchange(
     http: &HttpClient,
-    kept: Option<SendRequest<Full<Bytes>>>,
+    open_sender: Option<SendRequest<Full<Bytes>>>,
     step: &'static str,
     request: Request<Full<Bytes>>,
-) -> Result<(SendRequest<Full<Bytes>>, KeptReply), WireError> {
+) -> Result<(SendRequest<Full<Bytes>>, BufferedResponse), WireError> {
     let peer = http.peer.as_str();
-    let mut sender = match kept {
+    let mut sender = match open_sender {
         Some(sender) => sender,
         None => http.connect(step).await?,
     };
     let response = sender.send_request(request).await.context(HttpSnafu { step, peer })?;
     let status = response.status();
     let body = response.into_body().collect().await.context(HttpSnafu { step, peer })?.to_bytes();
-    Ok((sender, KeptReply { status, body }))
+    Ok((sender, BufferedResponse { status, body }))
 }
