--- a/crates/gateway/src/cluster/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -62,15 +62,15 @@
     }
 
     /// Returns the backoffs that a report includes: recent ones of this gateway, or with
-    /// `reports_all` all of them, and all known ones of `newcomers`.
+    /// `reports_all` all of them, and all known ones of `new_peers`.
     pub fn backoff_updates(
         &self,
         reports_all: bool,
-        newcomers: &[u64],
+        new_peers: &[u64],
         now: Instant,
     ) -> Vec<BackoffUpdate> {
         let reports_all_of =
-            |gateway| (reports_all && gateway == self.digest) || newcomers.contains(&gateway);
+            |gateway| (reports_all && gateway == self.digest) || new_peers.contains(&gateway);
         self.backoffs.updates(self.digest, reports_all_of, now)
     }
 
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -1,5 +1,5 @@
-//! The configuration in force at this process: what it is, what replaces it, and
-//! whether it is the newest.
+//! The configuration in force at this process: access to it, its replacement, and whether it is the
+//! newest.
 
 use std::collections::HashSet;
 use std::net::SocketAddr;
@@ -15,22 +15,27 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Keys of which a change is logged one by one; of more, their number.
+/// Maximum number of changed keys that are logged individually; each line holds the total.
 const MAX_KEYS_LOGGED: usize = 16;
 
 impl GatewayState {
-    /// The configuration in force, if one is known.
-    pub fn table(&self) -> Option<Arc<RouteTable>> {
+    /// Returns the configuration in force, if there is one.
+    pub fn route_table(&self) -> Option<Arc<RouteTable>> {
         self.in_force.read().expect("in-force lock").table()
     }
 
-    /// The version of the configuration in force; 0 while none is known.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub fn config_version(&self) -> ConfigVersion {
-        self.table().map_or(0, |table| table.version)
+        self.route_table().map_or(0, |table| table.version)
     }
 
-    /// The gateway `peer` at `address` has configuration `version` in force.
-    pub fn hear_config(&self, peer: &str, address: SocketAddr, version: ConfigVersion) {
+    /// Applies a report that the gateway `peer` at `address` has configuration `version` in force.
+    pub fn apply_peer_config_version(
+        &self,
+        peer: &str,
+        address: SocketAddr,
+        version: ConfigVersion,
+    ) {
         let own = self.config_version();
         if version > own {
             *self.config_source.lock().expect("config source lock") = Some((address, version));
@@ -43,49 +48,50 @@
             version,
             own,
             peer,
-            "another gateway has a newer configuration; the store is read"
+            "peer has a newer configuration; reading the store"
         );
         self.config_due.notify(usize::MAX);
     }
 
-    /// Runs `change` on what is known of newer configurations.
+    /// Runs `change` on the record of newer configurations.
     pub fn with_config_watch<T>(&self, change: impl FnOnce(&mut ConfigWatch) -> T) -> T {
         change(&mut self.config_watch.lock().expect("config watch lock"))
     }
 
-    /// True when no newer configuration is known of, and the one in force was the
-    /// store's within its bound.
+    /// Returns true if no newer configuration is known and the one in force matched the store
+    /// within the configured bound.
     pub fn has_newest_config(&self) -> bool {
-        let own = self.config_version();
+        let local_version = self.config_version();
         let bound = self.settings.config_bound;
-        self.with_config_watch(|watch| watch.is_newest(own, bound, Instant::now()))
+        self.with_config_watch(|watch| watch.is_newest(local_version, bound, Instant::now()))
     }
 
-    /// Has the configuration read at once, unless that was asked for a moment ago.
-    pub fn ask_for_config(&self) {
+    /// Requests an immediate read of the configuration, unless one was requested very recently.
+    pub fn request_config_read(&self) {
         if self.with_config_watch(|watch| watch.may_request_read(Instant::now())) {
             self.config_due.notify(usize::MAX);
         }
     }
 
-    /// A gateway with a newer configuration than the one in force, and its version.
+    /// Returns the address of a gateway with a newer configuration than the one in force, and that
+    /// configuration's version.
     pub fn newer_config(&self) -> Option<(SocketAddr, ConfigVersion)> {
-        let own = self.config_version();
+        let local_version = self.config_version();
         let source = *self.config_source.lock().expect("config source lock");
-        source.filter(|(_, version)| *version > own)
+        source.filter(|(_, version)| *version > local_version)
     }
 
-    /// Takes in `table`, which `source` held at row version `row_version`; true
-    /// when it is in force now.
-    pub fn put_in_force(
+    /// Applies `table`, which `source` holds at row version `row_version`. Returns true if it is
+    /// now in force.
+    pub fn apply_config(
         &self,
         row_version: StoreVersion,
         table: RouteTable,
         source: &'static str,
     ) -> bool {
         let version = table.version;
-        let known = self.table();
-        let change = self.with_in_force(|in_force| in_force.apply_if_newer(row_version, table));
+        let previous = self.route_table();
+        let change = self.with_config(|in_force| in_force.apply_if_newer(row_version, table));
         let before = match change {
             InForceChange::Applied { before } => before.unwrap_or(0),
             InForceChange::NotNewer { current } => {
@@ -94,14 +100,14 @@
                     version,
                     row_version,
                     current,
-                    "older configuration ignored"
+                    "configuration ignored: not newer than the one in force"
                 );
                 return false;
             }
         };
-        let Some(table) = self.table() else { return false };
+        let Some(table) = self.route_table() else { return false };
         self.quotas.set_limits(&table.organisations, version, &self.quota_view());
-        self.room.notify(usize::MAX);
+        self.capacity_changed.notify(usize::MAX);
         metrics::gauge!("umberglade_config_version").set(version as f64);
         tracing::info!(
             event = events::CONFIG_APPLIED,
@@ -111,28 +117,28 @@
             source,
             routes = table.len(),
             organisations = table.organisations.len(),
-            "configuration in force"
+            "configuration applied"
         );
-        if let Some(known) = known {
-            log_keys(&known, &table);
+        if let Some(previous) = previous {
+            log_key_changes(&previous, &table);
         }
         true
     }
 
-    /// The configuration in force was the newest at `at`.
-    pub fn note_config_fresh(&self, at: Instant) {
+    /// Records that the configuration in force was the newest at `at`.
+    pub fn record_config_fresh(&self, at: Instant) {
         self.with_config_watch(|watch| watch.record_fresh(at));
     }
 }
 
-fn log_keys(before: &RouteTable, after: &RouteTable) {
+fn log_key_changes(before: &RouteTable, after: &RouteTable) {
     let keys = |table: &RouteTable| table.organisations.keys().copied().collect::<HashSet<_>>();
     let (before, keys) = (keys(before), keys(after));
-    log_key_changes("gone", before.difference(&keys), after.version);
-    log_key_changes("added", keys.difference(&before), after.version);
+    log_changed_keys("gone", before.difference(&keys), after.version);
+    log_changed_keys("added", keys.difference(&before), after.version);
 }
 
-fn log_key_changes<'a>(
+fn log_changed_keys<'a>(
     outcome: &'static str,
     keys: impl Iterator<Item = &'a KeyDigest>,
     version: u64,
--- a/crates/gateway/src/flow_state.rs
+++ b/crates/gateway/src/flow_state.rs
@@ -1,4 +1,4 @@
-//! Applies the flow control that servers state in their answers or other gateways report.
+//! Applies the flow control that servers state in their responses or that peers report.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -16,9 +16,9 @@
 use crate::upstream::SendTarget;
 
 impl GatewayState {
-    /// Applies the flow control stated by `target` in its answer to a request sent at
-    /// `sent_at`, and logs what is new.
-    pub fn note_flow_control(
+    /// Applies the flow control stated by `target` in its response to a request sent at `sent_at`,
+    /// and logs changes.
+    pub fn record_flow_control(
         &self,
         target: &SendTarget,
         status: StatusCode,
@@ -28,41 +28,40 @@
         let now = Instant::now();
         let server = target.incarnation;
         if flow_control.is_leaving {
-            self.note_departure(server, "answer");
+            self.record_departure(server, "answer");
         }
         let is_unavailable = status == StatusCode::SERVICE_UNAVAILABLE;
         if let Some(delay) = flow_control.retry_after.filter(|_| is_unavailable) {
-            self.note_backoff(target, delay, now);
+            self.record_backoff(target, delay, now);
         }
         let change = self.fleet().record_limit(server, flow_control.limit, sent_at, now);
         if let Some(change) = change {
             self.log_limit(server, change, "answer");
-            // Reports at once: other gateways apply the previous limit until they hear of it.
-            self.work_changed.notify(1);
+            // Reports immediately: peers apply the previous limit until they receive the report.
+            self.report_due.notify(1);
         }
     }
 
     /// Applies and logs a backoff of `delay` that `target` requests.
-    fn note_backoff(&self, target: &SendTarget, delay: Duration, now: Instant) {
+    fn record_backoff(&self, target: &SendTarget, delay: Duration, now: Instant) {
         let is_extended = self.fleet().record_backoff(target.incarnation, delay, now);
         self.log_backoff(&target.server, delay, "answer");
         if is_extended {
-            // Reports at once: other gateways return the backoff to this one after a restart.
-            self.work_changed.notify(1);
+            // Reports immediately: peers report the backoff back to this gateway after a restart.
+            self.report_due.notify(1);
         }
     }
 
-    /// Applies a backoff reported by another gateway, and logs it if it extends a backoff of
-    /// this gateway.
-    pub fn hear_backoff(&self, news: BackoffUpdate) {
+    /// Applies a backoff reported by a peer, and logs it if it extends a backoff of this gateway.
+    pub fn apply_peer_backoff(&self, update: BackoffUpdate) {
         let mut fleet = self.fleet();
-        if !fleet.apply_peer_backoff(news, Instant::now()) {
+        if !fleet.apply_peer_backoff(update, Instant::now()) {
             return;
         }
-        let server_state = fleet.server_by_incarnation(news.server);
+        let server_state = fleet.server_by_incarnation(update.server);
         let server = server_state.map(|server_state| server_state.entry.server.clone());
         drop(fleet);
-        let delay = Duration::from_millis(u64::from(news.left_ms));
+        let delay = Duration::from_millis(u64::from(update.left_ms));
         self.log_backoff(server.as_deref().unwrap_or("-"), delay, "gateway");
     }
 
@@ -76,21 +75,21 @@
         );
     }
 
-    /// Applies a server's rate limit reported by another gateway, and logs a change.
-    pub fn hear_limit(&self, news: LimitUpdate) {
-        let change = self.fleet().apply_peer_limit(news, Instant::now());
+    /// Applies a server's rate limit reported by a peer, and logs a change.
+    pub fn apply_peer_limit(&self, update: LimitUpdate) {
+        let change = self.fleet().apply_peer_limit(update, Instant::now());
         if let Some(change) = change {
-            self.log_limit(news.server, change, "gateway");
+            self.log_limit(update.server, change, "gateway");
         }
     }
 
-    /// Applies a departure reported by another gateway.
-    pub fn hear_departure(&self, incarnation: ServerIncarnation) {
-        self.note_departure(incarnation, "gateway");
+    /// Applies a departure reported by a peer.
+    pub fn apply_peer_departure(&self, incarnation: ServerIncarnation) {
+        self.record_departure(incarnation, "gateway");
     }
 
-    /// Applies a departure that a server has stated, and logs it if it is new.
-    fn note_departure(&self, incarnation: ServerIncarnation, source: &'static str) {
+    /// Applies a departure stated by a server, and logs it if it is new.
+    fn record_departure(&self, incarnation: ServerIncarnation, source: &'static str) {
         let mut fleet = self.fleet();
         let Some(change) = fleet.record_departure(incarnation, Instant::now()) else { return };
         let server_state = fleet.server_by_incarnation(incarnation);
@@ -105,8 +104,8 @@
             "server stated that it is leaving"
         );
         self.log_changes(&[change], version);
-        // Reports at once: other gateways send requests to the server until they hear of it.
-        self.work_changed.notify(1);
+        // Reports immediately: peers send requests to the server until they receive the report.
+        self.report_due.notify(1);
     }
 
     fn log_limit(
@@ -131,6 +130,6 @@
             source,
             "server's rate limit changed"
         );
-        self.room.notify(usize::MAX);
+        self.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -19,7 +19,7 @@
 use crate::quarantine::claim_probe;
 use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// Minimum `Retry-After` of a quarantined request.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(1);
@@ -70,7 +70,7 @@
     if !quarantine.is_provisional || !has_time {
         return false;
     }
-    by_deadline(Instant::now() + POLL_INTERVAL, state.room.listen()).await;
+    with_deadline(Instant::now() + POLL_INTERVAL, state.capacity_changed.listen()).await;
     true
 }
 
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -90,7 +90,7 @@
             log_quarantined(call, quarantine, self.count, "not retried");
             return None;
         }
-        if self.unsent < self.count && !state.spend_retry(&call.service, RetryPriority::Needed) {
+        if self.unsent < self.count && !state.consume_retry(&call.service, RetryPriority::Needed) {
             metrics::counter!("umberglade_retries_denied_total").increment(1);
             tracing::info!(
                 event = events::RETRY_DENIED,
@@ -113,7 +113,7 @@
             return None;
         }
         if std::mem::replace(&mut self.has_sent_prefill, true) {
-            let is_allowed = state.spend_retry(&call.service, RetryPriority::Helpful);
+            let is_allowed = state.consume_retry(&call.service, RetryPriority::Helpful);
             return is_allowed.then(|| SendPermit::settled(state, &call.service));
         }
         Some(SendPermit::first_prefill(state, &call.service))
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -32,7 +32,7 @@
 use crate::model::RequestRate;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// Time from the placement to the first event, used where the service's own estimate is not.
 pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
@@ -69,7 +69,7 @@
         self.state
             .service_queues
             .with_line(&self.call.service, |queue| queue.leave(self.ticket, self.is_placed, now));
-        self.state.room.notify(usize::MAX);
+        self.state.capacity_changed.notify(usize::MAX);
     }
 }
 
@@ -83,7 +83,7 @@
     shape: &PromptShape,
 ) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
-    let estimates = state.learned(&call.service);
+    let estimates = state.estimates(&call.service);
     let run_time = estimates.outputs.run_time(shape.expected_output());
     let queue_request = QueueRequest {
         occupancy: kv_token_millis(shape, estimates.opening.likely() + run_time),
@@ -92,7 +92,7 @@
     };
     let deadline = queue_deadline(call, run_time);
     let max_wait = deadline.saturating_duration_since(now);
-    let peers = state.other_lines(&call.service);
+    let peers = state.peer_queues(&call.service);
     let joined = state
         .service_queues
         .with_line(&call.service, |queue| queue.join(queue_request, max_wait, peers, now));
@@ -103,7 +103,7 @@
     let mut queue_ticket = QueueTicket { state, call, ticket, is_placed: false };
     let mut is_reported = false;
     loop {
-        let wakeup = state.room.listen();
+        let wakeup = state.capacity_changed.listen();
         let quarantine = attempts.quarantine_status(state, call);
         let is_provisional = quarantine.is_some_and(|quarantine| quarantine.is_provisional);
         if let Some(quarantine) = quarantine.filter(|_| !is_provisional) {
@@ -120,7 +120,7 @@
             state.service_queues.with_line(&call.service, |queue| queue.leads_since(ticket, now));
         let earliest_placement = head_since.map(|since| earliest_placement(state, call, since));
         if earliest_placement.is_some_and(|at| now < at) && !is_reported {
-            state.work_changed.notify(1);
+            state.report_due.notify(1);
             is_reported = true;
         }
         if earliest_placement.is_some_and(|at| now >= at) && !is_provisional {
@@ -144,7 +144,7 @@
                 Err(PlacementError::NoRoom) => {
                     state.service_queues.with_line(&call.service, AdmissionQueue::note_no_room);
                     if !is_reported {
-                        state.work_changed.notify(1);
+                        state.report_due.notify(1);
                         is_reported = true;
                     }
                 }
@@ -152,7 +152,7 @@
         }
         if now >= deadline {
             let after = capacity_retry_after(state, call);
-            log_no_capacity(state, call, state.other_lines(&call.service), after);
+            log_no_capacity(state, call, state.peer_queues(&call.service), after);
             return Err(reject_call(call, Rejection::NoRoom, Some(after), 0));
         }
         let poll_at = match earliest_placement {
@@ -161,7 +161,7 @@
             None if is_provisional => now + POLL_INTERVAL,
             None => deadline,
         };
-        by_deadline(poll_at.min(deadline), wakeup).await;
+        with_deadline(poll_at.min(deadline), wakeup).await;
     }
 }
 
@@ -173,7 +173,7 @@
 /// until the reports of peers say otherwise. Without the delay, full engines reject a quarter
 /// of the requests that 79 gateways place in a burst, after a wasted prefill.
 fn earliest_placement(state: &GatewayState, call: &Call, since: Instant) -> Instant {
-    if state.other_lines(&call.service).waiting == 0 {
+    if state.peer_queues(&call.service).waiting == 0 {
         since
     } else {
         since + REPORT_PROPAGATION_DELAY
@@ -189,7 +189,7 @@
 
 /// Returns the `Retry-After` after which the queues of all gateways should have drained.
 pub(super) fn capacity_retry_after(state: &GatewayState, call: &Call) -> Duration {
-    let peers = state.other_lines(&call.service);
+    let peers = state.peer_queues(&call.service);
     state.service_queues.with_line(&call.service, |queue| queue.retry_after(peers, Instant::now()))
 }
 
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -136,7 +136,7 @@
     }
     let is_misdirected = status == http::StatusCode::MISDIRECTED_REQUEST;
     if !is_misdirected {
-        state.note_flow_control(target, status, head.flow_control, sent_at);
+        state.record_flow_control(target, status, head.flow_control, sent_at);
     }
     if head.is_not_run || is_misdirected {
         let failure = if is_misdirected { SendFailure::Misdirected } else { SendFailure::NotRun };
@@ -180,9 +180,9 @@
     problem: &str,
     run_duration: Duration,
 ) -> SendFailure {
-    state.note_outcome(target, failure.outcome());
+    state.record_outcome(target, failure.outcome());
     if failure == SendFailure::Broken {
-        state.note_crash(call.id(), call.fingerprint, target, run_duration);
+        state.record_crash(call.id(), call.fingerprint, target, run_duration);
     }
     let kind = failure.to_string();
     metrics::counter!("umberglade_send_failures_total", "failure" => kind).increment(1);
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -44,10 +44,10 @@
     state: &Arc<GatewayState>,
     call: Arc<Call>,
 ) -> Response<GatewayBody> {
-    if state.is_past_last_call() {
+    if state.is_past_forwarding_cutoff() {
         return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
-    state.note_request(&call.service);
+    state.record_request(&call.service);
     let attempts = match admit::admit::<C>(state, &call).await {
         Ok(attempts) => attempts,
         Err(rejection) => return rejection,
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -32,7 +32,7 @@
 use crate::model::SendPurpose;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 use crate::upstream::SendTarget;
 
 /// `Retry-After` of rejected plain calls: servers work on a call for tens of milliseconds, so
@@ -149,7 +149,7 @@
     attempts: &mut Attempts,
     earlier: &mut EarlierOutcomes,
 ) -> Option<SendOutcome> {
-    if let Some(outcome) = by_deadline(Instant::now() + after, first.as_mut()).await {
+    if let Some(outcome) = with_deadline(Instant::now() + after, first.as_mut()).await {
         return Some(outcome);
     }
     let permit = attempts.permit(state, call);
@@ -236,7 +236,7 @@
     reply: OpenReply,
 ) -> SendOutcome {
     let (parts, body) = reply.response.into_parts();
-    let read = match by_deadline(call.deadline, body.collect()).await {
+    let read = match with_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
         Some(Err(error)) => Err((SendFailure::Broken, error.to_string())),
         None => Err((SendFailure::Silent, "the body did not arrive in time".to_owned())),
@@ -250,9 +250,9 @@
         }
     };
     let is_error = parts.status.is_server_error();
-    state.note_outcome(target, if is_error { ServerOutcome::Erred } else { ServerOutcome::Fine });
+    state.record_outcome(target, if is_error { ServerOutcome::Erred } else { ServerOutcome::Fine });
     if !is_error && is_delimited(&parts.headers) {
-        state.note_whole(call.fingerprint, target);
+        state.record_completion(call.fingerprint, target);
     }
     if !reply.head.closes {
         state.pool.put(target, reply.connection, reply.head.keep_alive, Instant::now());
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -37,7 +37,7 @@
 /// they lengthen the queues, and healthy engines count as failed. At half the prefill rate
 /// that fixed timeouts assume, most prompts time out.
 fn prefill_timeout(state: &GatewayState, call: &Call, tokens_ahead: u32) -> Duration {
-    let reading = state.learned(&call.service).balance.reading;
+    let reading = state.estimates(&call.service).balance.reading;
     let typical = reading.estimate(tokens_ahead).map(|typical| typical * TIMEOUT_FACTOR);
     let slowest = || {
         let millis = f64::from(tokens_ahead) / DEFAULT_TOKENS_PER_MS;
@@ -100,7 +100,7 @@
     state
         .service_queues
         .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
-    state.note_outcome(&target, ServerOutcome::Fine);
+    state.record_outcome(&target, ServerOutcome::Fine);
     tracing::info!(
         event = events::PREFILL_DONE,
         request_id = call.id(),
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -32,7 +32,7 @@
 use crate::model::OnwardOrder;
 use crate::model::SendPurpose;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// Number of target gaps without an event after which a stream counts as stalled. Callers
 /// disconnect after eight; the remaining time is for resuming at another server.
@@ -78,7 +78,7 @@
     *response.headers_mut() = stream.headers.clone();
     let relay = Relay {
         state: Arc::clone(state),
-        in_flight: state.flights.enter_request(),
+        in_flight: state.in_flight.enter_request(),
         call,
         sender,
         attempts,
@@ -184,10 +184,10 @@
                 }
                 self.relay_event(event).await?;
                 tokens += tokens_per_event;
-                stream.load_guard.advance(tokens);
+                stream.load_guard.record_progress(tokens);
             }
             let until = (Instant::now() + stall_timeout).min(self.call.deadline);
-            match by_deadline(until, stream.reader.next_event()).await {
+            match with_deadline(until, stream.reader.next_event()).await {
                 Some(Ok(Some(event))) => next = Some(event),
                 Some(Ok(None)) if stream.reader.is_complete() => return Ok(StreamStop::Ended),
                 Some(Ok(None)) => {
@@ -241,9 +241,9 @@
         service_queues.with_balance(&self.call.service, |balance| {
             balance.record_stream(prompt_tokens, tokens, duration);
         });
-        self.state.note_outcome(&stream.target, ServerOutcome::Fine);
+        self.state.record_outcome(&stream.target, ServerOutcome::Fine);
         if stream.is_delimited {
-            self.state.note_whole(self.call.fingerprint, &stream.target);
+            self.state.record_completion(self.call.fingerprint, &stream.target);
         }
         if let Some(connection) = stream.connection {
             let target = &stream.target;
--- a/crates/gateway/src/forward/send_permit.rs
+++ b/crates/gateway/src/forward/send_permit.rs
@@ -56,7 +56,7 @@
 impl Drop for SendPermit {
     fn drop(&mut self) {
         if self.pending_count == PendingCount::FirstPrefill {
-            self.state.note_repeat(&self.service);
+            self.state.record_retry(&self.service);
         }
     }
 }
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -23,7 +23,7 @@
 use crate::load_guard::LoadGuard;
 use crate::model::OnwardOrder;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 use crate::upstream::PooledConnection;
 use crate::upstream::SendTarget;
 
@@ -77,9 +77,9 @@
     };
     let status = reply.response.status();
     if !status.is_success() {
-        return match by_deadline(deadline, read_error_response::<C>(reply)).await {
+        return match with_deadline(deadline, read_error_response::<C>(reply)).await {
             Some(Ok(response)) => {
-                state.note_outcome(&target, ServerOutcome::Erred);
+                state.record_outcome(&target, ServerOutcome::Erred);
                 OpenOutcome::Responded(response)
             }
             Some(Err(error)) => fail(SendFailure::Broken, &error.to_string()),
@@ -89,12 +89,12 @@
     let OpenReply { response, head, connection, .. } = reply;
     let (parts, body) = response.into_parts();
     let mut reader = EventReader::new(body);
-    let first = match by_deadline(deadline, reader.next_event()).await {
+    let first = match with_deadline(deadline, reader.next_event()).await {
         Some(Ok(first)) => first,
         Some(Err(error)) => return fail(SendFailure::Broken, &error.to_string()),
         None => return fail(SendFailure::Silent, "no first event in time"),
     };
-    state.note_outcome(&target, ServerOutcome::Fine);
+    state.record_outcome(&target, ServerOutcome::Fine);
     OpenOutcome::Stream(Box::new(OpenStream {
         status,
         headers: C::reply_headers(&parts.headers),
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -32,7 +32,7 @@
 use crate::model::SendPurpose;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
-use crate::stop::CLOSE_TIME;
+use crate::stop::IDLE_CLOSE_DELAY;
 
 /// Timeout of the first event while another server may be tried: five times the typical time,
 /// after which the event is not expected to arrive.
@@ -45,7 +45,7 @@
     mut attempts: Attempts,
 ) -> Response<GatewayBody> {
     // A stream that starts this late in a stop would be cut by the end of the process.
-    if state.stop.has_lasted(CLOSE_TIME) {
+    if state.stop.has_elapsed(IDLE_CLOSE_DELAY) {
         return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
     let shape = call.prompt_shape();
--- a/crates/gateway/src/in_flight_count.rs
+++ b/crates/gateway/src/in_flight_count.rs
@@ -1,10 +1,10 @@
-//! Requests and connections that a graceful stop waits for.
+//! Counts the requests and connections that a graceful stop waits for.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicU32;
 use std::sync::atomic::Ordering;
 
-/// Counts what is in flight.
+/// Counts of requests and callers' connections in flight.
 #[derive(Debug, Default)]
 pub struct InFlightCount {
     requests: Arc<AtomicU32>,
@@ -42,16 +42,15 @@
         InFlightGuard::enter(&self.connections)
     }
 
-    /// Requests in flight.
     pub fn requests(&self) -> u32 {
         self.requests.load(Ordering::Acquire)
     }
 
-    /// True while a request is in flight, or an answer is not written out yet.
+    /// Returns true while a request is in flight or a response is not fully written.
     ///
-    /// Guards against answers cut by the end of a stop: a request counts until
-    /// its last event is handed over, and the connection writes it after that.
-    /// A caller that reads slowly, or a busy instance, lost the last events.
+    /// Prevents the end of a stop from cutting responses: a request counts until its last event is
+    /// handed to the connection, which writes it afterwards. With a slow caller or on a busy
+    /// instance, the last events would be lost.
     pub fn is_busy(&self) -> bool {
         self.requests() > 0 || self.connections.load(Ordering::Acquire) > 0
     }
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -12,7 +12,7 @@
 use crate::model::Route;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// How long a request with an unknown route or key waits for a configuration that
 /// may know it: a read of the store and a margin.
@@ -52,7 +52,7 @@
 ) -> Result<FoundRoute, Rejection> {
     let until = Instant::now() + NEWER_WAIT;
     loop {
-        let table = state.table().ok_or(Rejection::NoConfiguration)?;
+        let table = state.route_table().ok_or(Rejection::NoConfiguration)?;
         let refusal = match look_up(table, host, path, key) {
             Ok(found) => return Ok(found),
             Err(refusal) => refusal,
@@ -63,9 +63,10 @@
         if Instant::now() >= until {
             return Err(Rejection::ConfigUnsettled);
         }
-        state.ask_for_config();
+        state.request_config_read();
         // A change that comes meanwhile is seen at the next look.
-        by_deadline(until.min(Instant::now() + LOOK_AGAIN), state.room.listen()).await;
+        with_deadline(until.min(Instant::now() + LOOK_AGAIN), state.capacity_changed.listen())
+            .await;
     }
 }
 
--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -26,8 +26,8 @@
 use crate::forward;
 use crate::forward::GatewayBody;
 use crate::state::GatewayState;
-use crate::stop::CLOSE_TIME;
-use crate::stop::NOTICE_TIME;
+use crate::stop::BALANCER_NOTICE_DELAY;
+use crate::stop::IDLE_CLOSE_DELAY;
 
 /// The pause after a failed accept, which mostly means that descriptors
 /// have run out.
@@ -54,7 +54,7 @@
 }
 
 async fn serve_connection<C: PlatformCodec>(stream: TcpStream, state: Arc<GatewayState>) {
-    let limits = state.table().map(|table| table.limits).unwrap_or_default();
+    let limits = state.route_table().map(|table| table.limits).unwrap_or_default();
     let service_state = Arc::clone(&state);
     let service = service_fn(move |request| answer::<C>(Arc::clone(&service_state), request));
     let connection = http1::Builder::new()
@@ -73,14 +73,14 @@
     };
     // A connection that comes later than that is not closed while idle: its
     // first request may be on its way, and the answer to it closes it.
-    let is_late = state.stop.has_lasted(CLOSE_TIME);
+    let is_late = state.stop.has_elapsed(IDLE_CLOSE_DELAY);
     // Late ones may stay idle, and a stop does not wait for them.
-    let _open = (!is_late).then(|| state.flights.enter_connection());
+    let _open = (!is_late).then(|| state.in_flight.enter_connection());
     let closing = async {
         if is_late {
             std::future::pending::<()>().await;
         }
-        state.stop.lasted(CLOSE_TIME).await;
+        state.stop.wait_elapsed(IDLE_CLOSE_DELAY).await;
         false
     };
     if !ended.or(closing).await {
@@ -93,12 +93,12 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Result<Response<GatewayBody>, CallAborted> {
-    let _in_flight = state.flights.enter_request();
+    let _in_flight = state.in_flight.enter_request();
     let mut response = match read_call::<C>(&state, request).await? {
         ReadEnd::Call(call) => forward::forward::<C>(&state, call).await,
         ReadEnd::Refused(response) => response,
     };
-    if state.stop.has_lasted(NOTICE_TIME) {
+    if state.stop.has_elapsed(BALANCER_NOTICE_DELAY) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -34,7 +34,7 @@
 use crate::model::Organisation;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// How long a request waits for the first configuration and servers: reading
 /// both takes some 20 ms after a start, and callers whose connections broke
@@ -70,7 +70,7 @@
     let mut head = C::call_head(request.headers());
     let request_id = head.request_id.clone();
     let request_id = request_id.as_deref().unwrap_or("-");
-    by_deadline(arrived + START_WAIT, state.known()).await;
+    with_deadline(arrived + START_WAIT, state.wait_until_initialized()).await;
     let host = stated_host(request.headers(), request.uri()).unwrap_or_default();
     let found = match find_route(state, host, request.uri().path(), &head.key).await {
         Ok(found) => found,
@@ -99,7 +99,7 @@
     let service = route.service(draw).clone();
     let spec = spec_of(&table, &service);
     if let Some(prompt) = &mut head.prompt {
-        prompt.output_estimate = state.learned(&service).outputs.expect(prompt.output_estimate);
+        prompt.output_estimate = state.estimates(&service).outputs.expect(prompt.output_estimate);
     }
     let charge = match charge(state, organisation.as_deref(), &head) {
         Ok(charge) => charge,
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/keeper.rs
@@ -27,7 +27,7 @@
 use crate::store::FollowError;
 use crate::store::StoreClient;
 use crate::store::log_unreadable;
-use crate::timing::waking_clock;
+use crate::timing::boottime_clock;
 use crate::upstream::SendTarget;
 
 /// Between two looks at the pools.
@@ -46,7 +46,7 @@
     let mut watches: HashMap<ServiceName, StageMonitor> = HashMap::new();
     loop {
         smol::Timer::after(LOOK_EVERY).await;
-        let Some(table) = state.table() else { continue };
+        let Some(table) = state.route_table() else { continue };
         for (service, spec) in &table.services {
             let Some(spec) = &spec.engine else { continue };
             let watch = watches.entry(service.clone()).or_default();
@@ -69,10 +69,10 @@
     now: Instant,
 ) -> StageSnapshot {
     let own = state.service_queues.with_line(service, |line| line.len());
-    let waiting = own + state.other_lines(service).waiting as usize;
+    let waiting = own + state.peer_queues(service).waiting as usize;
     let look = stage_snapshot(&state.fleet(), service, waiting, now);
     let target_prefill =
-        state.learned(service).balance.target_prefill_servers(look.engines(), spec);
+        state.estimates(service).balance.target_prefill_servers(look.engines(), spec);
     StageSnapshot { target_prefill, ..look }
 }
 
@@ -89,7 +89,7 @@
     look: StageSnapshot,
     change: StageChange,
 ) {
-    let begun = waking_clock();
+    let begun = boottime_clock();
     let fence = match claim(state, client).await {
         Ok(Some(fence)) => fence,
         Ok(None) => {
@@ -110,11 +110,11 @@
         let Some(target) = send_target(state, &server) else { continue };
         // A connection of its own, so that order and report go to one process.
         let target = SendTarget { may_reuse: false, ..target };
-        let may_still = || waking_clock().saturating_sub(begun) < ORDER_TIME;
+        let may_still = || boottime_clock().saturating_sub(begun) < ORDER_TIME;
         let given = give_order::<C>(state, &target, change.to, fence, may_still).await;
         if given.is_ok() {
             state.fleet().begin_stage_change(&server, change.to, Instant::now());
-            state.work_changed.notify(1);
+            state.report_due.notify(1);
         }
         metrics::counter!("umberglade_orders_total").increment(1);
         tracing::info!(
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -24,7 +24,7 @@
 use crate::model::StoreVersion;
 use crate::model::server_incarnation;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 use crate::upstream;
 use crate::upstream::SendError;
 use crate::upstream::SendTarget;
@@ -137,5 +137,5 @@
     step: &'static str,
     peer: SocketAddr,
 ) -> Result<T, OrderError> {
-    by_deadline(Instant::now() + ANSWER_TIME, answer).await.context(LateSnafu { step, peer })?
+    with_deadline(Instant::now() + ANSWER_TIME, answer).await.context(LateSnafu { step, peer })?
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,10 @@
-//! The gateway: passes callers' HTTP requests on to the backend servers of
-//! the configuration in force, through separate prefill and decode pools
-//! where the service has them.
+//! The gateway: forwards callers' HTTP requests to the backend servers of the configuration in
+//! force, through separate prefill and decode pools where the service has them.
 //!
-//! Modules, in the order a request meets them: [`ingress`] (connections,
-//! limits, the route), [`forward`] (one request end to end), [`upstream`]
-//! (connections to backend servers). [`cluster`] holds every decision, free
-//! of I/O and clocks; [`store`] and [`peers`] feed it. [`model`] is the
-//! vocabulary and [`codec`] the seam to a platform's manner of speaking.
+//! Modules, in the order in which a request passes them: [`ingress`] (connections, limits, routes),
+//! [`forward`] (one request end to end), [`upstream`] (connections to backend servers). [`cluster`]
+//! makes every decision, without I/O or clocks; [`store`] and [`peers`] supply its input. [`model`]
+//! defines the shared types, and [`codec`] the interface to a platform's names and formats.
 
 pub mod cluster;
 pub mod codec;
--- a/crates/gateway/src/load_guard.rs
+++ b/crates/gateway/src/load_guard.rs
@@ -1,4 +1,4 @@
-//! Work at a server, counted until it ends.
+//! Counts the load of a request at a server until the request ends.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,56 +9,56 @@
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 
-/// An answer longer than estimated is taken to be this part of its length
-/// away from its end: estimates are off by half on the mean.
-const OUTGROWN_PART: u32 = 4;
+/// A response that reaches its estimated length is expected to continue for its length so far
+/// divided by this number: estimates are off by half on average.
+const OVERRUN_DIVISOR: u32 = 4;
 
-/// Counts one request at a server until dropped, however the request ends:
-/// a count that stayed behind would keep the server looking full.
+/// Counts one request at a server until dropped, however the request ends: a load that is never
+/// removed would make the server appear full.
 #[derive(Debug)]
 pub struct LoadGuard {
     state: Arc<GatewayState>,
     pub server: ServerKey,
-    /// The start of the server at which it counts; `None` for an unknown one.
+    /// Incarnation of the server at which the load is counted; `None` if the server is unknown.
     incarnation: Option<ServerIncarnation>,
     work: LoadShare,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl LoadGuard {
-    /// Counts `work` at `server` from now on.
+    /// Adds `work` to the load of `server`.
     pub fn begin(state: &Arc<GatewayState>, server: ServerKey, work: LoadShare) -> Self {
-        let begun = Instant::now();
-        let incarnation = state.fleet().add_load(&server, work, begun);
-        tell(state, work);
-        LoadGuard { state: Arc::clone(state), server, incarnation, work, begun }
+        let started_at = Instant::now();
+        let incarnation = state.fleet().add_load(&server, work, started_at);
+        request_report(state, work);
+        LoadGuard { state: Arc::clone(state), server, incarnation, work, started_at }
     }
 
-    /// How long it has been counted.
+    /// Returns the time since the load was added.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
-    /// Notes that `made` tokens have been generated. An answer that outgrows
-    /// its estimate is expected to go on for a while.
-    pub fn advance(&mut self, made: u32) {
-        let mut after = self.work;
-        after.made_tokens = made;
-        if made >= after.output_tokens {
-            after.output_tokens = made + made / OUTGROWN_PART;
+    /// Records that `generated_tokens` tokens have been generated, and extends the estimate of a
+    /// response that has reached it.
+    pub fn record_progress(&mut self, generated_tokens: u32) {
+        let mut updated = self.work;
+        updated.made_tokens = generated_tokens;
+        if generated_tokens >= updated.output_tokens {
+            updated.output_tokens = generated_tokens + generated_tokens / OVERRUN_DIVISOR;
         }
         if let Some(incarnation) = self.incarnation {
-            self.state.fleet().replace_load(&self.server, incarnation, self.work, after);
+            self.state.fleet().replace_load(&self.server, incarnation, self.work, updated);
         }
-        self.work = after;
+        self.work = updated;
     }
 }
 
-/// Streams are told to the other gateways at once: each takes a large part
-/// of an engine for seconds. Plain calls are over sooner than told.
-fn tell(state: &GatewayState, work: LoadShare) {
+/// Requests an immediate report to the peers for a stream, which takes a large fraction of an
+/// engine for seconds. Plain calls end before a report would arrive.
+fn request_report(state: &GatewayState, work: LoadShare) {
     if work.prompt_tokens > 0 {
-        state.work_changed.notify(1);
+        state.report_due.notify(1);
     }
 }
 
@@ -67,7 +67,7 @@
         if let Some(incarnation) = self.incarnation {
             self.state.fleet().remove_load(&self.server, incarnation, self.work);
         }
-        tell(&self.state, self.work);
-        self.state.room.notify(usize::MAX);
+        request_report(&self.state, self.work);
+        self.state.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/peers/config_transfer.rs
+++ b/crates/gateway/src/peers/config_transfer.rs
@@ -18,7 +18,7 @@
 use crate::events;
 use crate::model::ConfigCopy;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// How long to wait for the local read of the store before fetching from a peer.
 const STORE_READ_DELAY: Duration = Duration::from_millis(250);
@@ -45,7 +45,7 @@
 }
 
 async fn send_copy(state: Arc<GatewayState>, mut stream: TcpStream) {
-    let copy = state.with_in_force(|in_force| {
+    let copy = state.with_config(|in_force| {
         in_force.current().map(|(row_version, table)| ConfigCopy::of(*row_version, table))
     });
     let Some(copy) = copy else { return };
@@ -55,7 +55,7 @@
         stream.close().await
     };
     // After an error the peer sees a truncated copy and asks again.
-    let _ = by_deadline(Instant::now() + TRANSFER_TIMEOUT, write).await;
+    let _ = with_deadline(Instant::now() + TRANSFER_TIMEOUT, write).await;
 }
 
 /// Fetches newer configurations from peers when the store does not show them in time, until the
@@ -93,11 +93,11 @@
         stream.take(MAX_COPY_BYTES).read_to_end(&mut bytes).await?;
         Ok::<_, io::Error>(bytes)
     };
-    let bytes = by_deadline(Instant::now() + TRANSFER_TIMEOUT, read)
+    let bytes = with_deadline(Instant::now() + TRANSFER_TIMEOUT, read)
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
     let copy: ConfigCopy = postcard::from_bytes(&bytes)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
     let row_version = copy.row_version;
-    Ok(state.put_in_force(row_version, copy.into_table(), "gateway"))
+    Ok(state.apply_config(row_version, copy.into_table(), "gateway"))
 }
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -22,7 +22,7 @@
 use crate::events;
 use crate::model::StoreTable;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// Maximum size of a datagram that is sent: about 300 servers with load.
 pub(super) const MAX_DATAGRAM: usize = 8 * 1024;
@@ -51,21 +51,21 @@
     let mut remote_peer_cycle = RemotePeerCycle::new(Instant::now());
     let mut full_report_due = Instant::now();
     for sequence in 1.. {
-        let changed = state.work_changed.listen();
+        let changed = state.report_due.listen();
         let shards = state.fleet().peer_shards();
         let PeerGroups { local_shard, .. } = registry.groups(&state.settings.instance, shards);
         let due = Instant::now() + report_interval(local_shard.len());
-        if by_deadline(due, changed).await.is_some() {
+        if with_deadline(due, changed).await.is_some() {
             smol::Timer::at(budget.send_at(local_shard.len(), due, Instant::now())).await;
         }
-        let newcomers = std::mem::take(&mut *state.newcomers.lock().expect("newcomers lock"));
+        let new_peers = std::mem::take(&mut *state.new_peers.lock().expect("new peers lock"));
         // Grouped again, since a gateway may have been added to the registry during the wait.
         let PeerGroups { local_shard, remote } = registry.groups(&state.settings.instance, shards);
-        let is_full = !newcomers.is_empty() || Instant::now() >= full_report_due;
+        let is_full = !new_peers.is_empty() || Instant::now() >= full_report_due;
         if is_full {
             full_report_due = Instant::now() + FULL_REPORT_INTERVAL;
         }
-        let report = report(&state, incarnation, sequence, is_full, &newcomers);
+        let report = report(&state, incarnation, sequence, is_full, &new_peers);
         let interval =
             if report.tables.is_empty() { REMOTE_REPORT_INTERVAL } else { READER_REPORT_INTERVAL };
         let recipients = remote_peer_cycle.next(&remote, interval, Instant::now());
@@ -128,7 +128,7 @@
     incarnation: u64,
     sequence: u64,
     is_full: bool,
-    newcomers: &[u64],
+    new_peers: &[u64],
 ) -> LoadReport {
     let now = Instant::now();
     // Each lock needs its own statement, because its guard lives until the statement ends.
@@ -138,7 +138,7 @@
     let store_calm = state.fleet().store_stable_duration(now);
     let limits = state.fleet().limits.news(is_full, now);
     let departures = state.fleet().departures.updates(is_full, now);
-    let backoffs = state.fleet().backoff_updates(is_full, newcomers, now);
+    let backoffs = state.fleet().backoff_updates(is_full, new_peers, now);
     LoadReport {
         reach: PeerReach::Near,
         peer: state.settings.instance.clone(),
@@ -146,11 +146,11 @@
         sequence,
         loads,
         store_calm_ms: store_calm.as_millis() as u64,
-        retries: state.own_retries(),
+        retries: state.local_retries(),
         aside,
         lines: state.service_queues.own_lines(now),
         changing,
-        learned: is_full.then(|| state.own_learning()),
+        learned: is_full.then(|| state.local_estimates()),
         config: state.config_version(),
         tables: state.readings.notices(now),
         charges: state.quotas.news(is_full),
@@ -229,8 +229,8 @@
     let is_known = state.fleet().peers.has_report(&report.peer, report.incarnation);
     if report.sequence <= STARTUP_REPORTS || !is_known {
         let digest = server_digest(&report.peer);
-        state.newcomers.lock().expect("newcomers lock").push(digest);
-        state.work_changed.notify(1);
+        state.new_peers.lock().expect("new peers lock").push(digest);
+        state.report_due.notify(1);
     }
     let update = PeerUpdate {
         reach: report.reach,
@@ -253,25 +253,25 @@
     if let Some(learned) = report.learned {
         state.fleet().peers.record_estimates(&report.peer, learned, now);
     }
-    state.hear_config(&report.peer, address, report.config);
+    state.apply_peer_config_version(&report.peer, address, report.config);
     for notice in report.tables {
         if notice.table == StoreTable::Configuration && report.config == state.config_version() {
             let age = Duration::from_millis(notice.age_ms);
-            state.note_config_fresh(now.checked_sub(age).unwrap_or(now));
+            state.record_config_fresh(now.checked_sub(age).unwrap_or(now));
         }
         state.readings.hear_notice(&report.peer, notice, now);
     }
     for update in report.limits {
-        state.hear_limit(update);
+        state.apply_peer_limit(update);
     }
     for update in report.backoffs {
-        state.hear_backoff(update);
+        state.apply_peer_backoff(update);
     }
     for server in report.departures {
-        state.hear_departure(server);
+        state.apply_peer_departure(server);
     }
     for update in report.outcomes {
         state.quarantines.apply_peer_outcome(update);
     }
-    state.room.notify(usize::MAX);
+    state.capacity_changed.notify(usize::MAX);
 }
--- a/crates/gateway/src/peers/row_sender.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -26,7 +26,7 @@
             }
         }
         // Sends a report, so that peers can compare their content with this gateway's.
-        state.work_changed.notify(1);
+        state.report_due.notify(1);
     }
 }
 
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -28,7 +28,7 @@
 impl GatewayState {
     /// For how long the process has run.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// What this gateway sees of the others when it gives out a quota.
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! Puts a gateway together, sets it serving, and stops it.
+//! Assembles, starts and stops a gateway.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,9 +23,9 @@
 use crate::peers::PeerRegistry;
 use crate::quarantine;
 use crate::state::GatewayState;
-use crate::stop::FLUSH_TIME;
-use crate::stop::GRACE_MARGIN;
-use crate::stop::MIN_STOP;
+use crate::stop::FLUSH_DELAY;
+use crate::stop::MIN_STOP_DURATION;
+use crate::stop::STOP_GRACE_MARGIN;
 use crate::store::ConfigSink;
 use crate::store::MemberRow;
 use crate::store::MemberSink;
@@ -35,46 +35,45 @@
 use crate::store::TableFollower;
 use crate::store::TableSharing;
 
-/// The part of the configuration's bound that its feed waits at the store:
-/// with the call's margin and a new connection, a connection that has gone
-/// silent hides a change for less than the bound. Where many gateways tell
-/// each other what is in force, they wait longer.
-const CONFIG_WAIT_PART: f64 = 0.5;
-/// The part of the drain bound between two reads of the servers, which
-/// change all the time: so their changes come in batches. A leaving server
-/// is known within the bound though a call is lost and made again: 0.6 of
-/// two seconds, and 0.8 s.
-const SERVER_PACE_PART: f64 = 0.6;
-/// The part of the drain bound that the servers' feed waits at the store.
-const SERVER_WAIT_PART: f64 = 0.35;
-/// Between two reads of the gateways: whoever registers later has read of this
-/// one and reports to it, by which it is known at once. A gateway that missed
-/// both the row and the reports of another learns of it then.
-const MEMBER_PACE: Duration = Duration::from_secs(30);
-/// Configurations may come in quick succession; they are read one by one.
-const CONFIG_PACE: Duration = Duration::from_millis(50);
-/// How long the feed of requests held back waits at the store, twice as long as
-/// where gateways read it for each other: its rows change rarely, and the feed
-/// tells of them at once.
+/// Fraction of the configuration's bound for which its feed waits at the store. Together with the
+/// call's margin and a new connection, a connection that has become silent hides a change for less
+/// than the bound. Where many gateways report to each other what is in force, they wait longer.
+const CONFIG_WAIT_FRACTION: f64 = 0.5;
+/// Fraction of the drain bound between two reads of the servers. They change continually, and the
+/// interval batches their changes. A draining server is known within the bound even if a call is
+/// lost and retried: 0.6 of two seconds, plus 0.8 s.
+const SERVER_READ_INTERVAL_FRACTION: f64 = 0.6;
+/// Fraction of the drain bound for which the servers' feed waits at the store.
+const SERVER_WAIT_FRACTION: f64 = 0.35;
+/// Interval between two reads of the registered gateways. A gateway that registers later has read
+/// this one's row and reports to it, which makes it known immediately. A gateway that missed both
+/// the row and the reports of another finds it with the next read.
+const MEMBER_READ_INTERVAL: Duration = Duration::from_secs(30);
+/// Interval between two reads of the configuration. Configurations may follow each other quickly;
+/// they are read one by one.
+const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for which the feed of quarantined requests waits at the store, twice as long as where
+/// gateways read it for their peers: its rows change rarely, and the feed reports changes
+/// immediately.
 const QUARANTINE_WAIT: Duration = Duration::from_secs(8);
-/// Between two reads of the requests held back, so that several that change at
-/// a time cost one call.
-const QUARANTINE_PACE: Duration = Duration::from_millis(200);
-/// Pauses between tries to register with the store.
-const REGISTER_PAUSE: Duration = Duration::from_millis(500);
-/// How often a stop looks whether anything is still in flight.
-const BUSY_PAUSE: Duration = Duration::from_millis(20);
-/// How often beliefs and kept connections past their time are dropped.
-const TICK: Duration = Duration::from_millis(500);
+/// Interval between two reads of the quarantined requests, so that several simultaneous changes
+/// cost one call.
+const QUARANTINE_READ_INTERVAL: Duration = Duration::from_millis(200);
+/// Mean delay between attempts to register with the store.
+const REGISTER_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval at which a stop checks whether anything is still in flight.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Interval at which expired server state and expired pooled connections are dropped.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Why a gateway could not start; names the address.
+/// The reason why a gateway could not start; names the address.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
     #[snafu(display("binding {address}: {source}"))]
     Bind { address: SocketAddr, source: io::Error },
 }
 
-/// Binds and serves on the worker pool; returns once callers can connect.
+/// Binds the listeners and serves on the worker pool. Returns once callers can connect.
 pub async fn start<C: PlatformCodec>(
     settings: GatewaySettings,
     metrics: Option<PrometheusHandle>,
@@ -86,21 +85,21 @@
     let address = settings.peer;
     let socket = UdpSocket::bind(address).await.context(BindSnafu { address })?;
     settings.peer = socket.local_addr().context(BindSnafu { address })?;
-    let copies = bind_copies(settings.peer).await;
+    let config_listener = bind_config_listener(settings.peer).await;
     let state = GatewayState::new(settings, metrics);
-    let book = Arc::new(PeerRegistry::default());
-    follow::<C>(&state);
-    pool::spawn(register::<C>(Arc::clone(&state), Arc::clone(&book)));
-    pool::spawn(peers::send_reports(Arc::clone(&state), Arc::clone(&book), socket.clone()));
-    pool::spawn(peers::send_rows(Arc::clone(&state), Arc::clone(&book), socket.clone()));
-    pool::spawn(peers::receive_reports(Arc::clone(&state), book, socket));
-    if let Some(copies) = copies {
-        pool::spawn(peers::serve_config(Arc::clone(&state), copies));
+    let registry = Arc::new(PeerRegistry::default());
+    follow_tables::<C>(&state);
+    pool::spawn(register::<C>(Arc::clone(&state), Arc::clone(&registry)));
+    pool::spawn(peers::send_reports(Arc::clone(&state), Arc::clone(&registry), socket.clone()));
+    pool::spawn(peers::send_rows(Arc::clone(&state), Arc::clone(&registry), socket.clone()));
+    pool::spawn(peers::receive_reports(Arc::clone(&state), registry, socket));
+    if let Some(config_listener) = config_listener {
+        pool::spawn(peers::serve_config(Arc::clone(&state), config_listener));
     }
     pool::spawn(peers::fetch_newer_configs(Arc::clone(&state)));
     pool::spawn(run_stage_controller::<C>(Arc::clone(&state)));
     pool::spawn(quarantine::run_row_writer::<C>(Arc::clone(&state)));
-    pool::spawn(tick(Arc::clone(&state)));
+    pool::spawn(run_maintenance(Arc::clone(&state)));
     pool::spawn(ingress::serve_front::<C>(front, Arc::clone(&state)));
     for listener in [Some(ready), metrics_listener].into_iter().flatten() {
         let state = Arc::clone(&state);
@@ -123,45 +122,48 @@
     Ok(state)
 }
 
-/// Stops gracefully: callers are sent elsewhere, requests in flight end.
+/// Stops gracefully: callers are directed elsewhere, and requests in flight complete.
 pub async fn stop(state: &Arc<GatewayState>) {
-    let begun = Instant::now();
-    state.stop.begin(begun);
-    tracing::info!(event = events::STOP_BEGUN, in_flight = state.flights.requests(), "stop begun");
-    let latest = begun + state.settings.stop_grace.saturating_sub(GRACE_MARGIN);
-    smol::Timer::at((begun + MIN_STOP).min(latest)).await;
+    let started_at = Instant::now();
+    state.stop.begin(started_at);
+    tracing::info!(
+        event = events::STOP_BEGUN,
+        in_flight = state.in_flight.requests(),
+        "graceful stop started"
+    );
+    let latest = started_at + state.settings.stop_grace.saturating_sub(STOP_GRACE_MARGIN);
+    smol::Timer::at((started_at + MIN_STOP_DURATION).min(latest)).await;
     loop {
-        while state.flights.is_busy() && Instant::now() < latest {
-            smol::Timer::after(BUSY_PAUSE).await;
+        while state.in_flight.is_busy() && Instant::now() < latest {
+            smol::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
-        // The answers of connections that came too late to be counted.
-        smol::Timer::at((Instant::now() + FLUSH_TIME).min(latest)).await;
-        // Guards against a call that came in meanwhile: the process's end
-        // would cut it with its server at work.
-        if !state.flights.is_busy() || Instant::now() >= latest {
+        // Lets connections that arrived too late to be counted write their responses.
+        smol::Timer::at((Instant::now() + FLUSH_DELAY).min(latest)).await;
+        // Prevents the process's end from cutting a call that arrived meanwhile and that its
+        // server is executing.
+        if !state.in_flight.is_busy() || Instant::now() >= latest {
             break;
         }
     }
     tracing::info!(
         event = events::GATEWAY_STOPPED,
-        in_flight = state.flights.requests(),
-        elapsed_ms = begun.elapsed().as_millis() as u64,
-        "stopped"
+        in_flight = state.in_flight.requests(),
+        elapsed_ms = started_at.elapsed().as_millis() as u64,
+        "gateway stopped"
     );
 }
 
-/// Binds `at` and puts the bound address there, for one that asks for any
-/// free port.
-async fn bind(at: &mut SocketAddr) -> Result<TcpListener, GatewayError> {
-    let address = *at;
+/// Binds `endpoint` and stores the bound address in it, which differs if it requests any free port.
+async fn bind(endpoint: &mut SocketAddr) -> Result<TcpListener, GatewayError> {
+    let address = *endpoint;
     let listener = TcpListener::bind(address).await.context(BindSnafu { address })?;
-    *at = listener.local_addr().context(BindSnafu { address })?;
+    *endpoint = listener.local_addr().context(BindSnafu { address })?;
     Ok(listener)
 }
 
-/// The listener that hands the configuration to other gateways. One that can't be
-/// had keeps no gateway from serving: the others read the store.
-async fn bind_copies(address: SocketAddr) -> Option<TcpListener> {
+/// Binds the listener that sends the configuration to peers. A failure does not prevent the gateway
+/// from serving: the peers read the store.
+async fn bind_config_listener(address: SocketAddr) -> Option<TcpListener> {
     match TcpListener::bind(address).await {
         Ok(listener) => Some(listener),
         Err(error) => {
@@ -169,15 +171,15 @@
                 event = events::COPIES_UNBOUND,
                 %address,
                 %error,
-                "hands out no configuration"
+                "cannot bind the listener that sends the configuration to peers"
             );
             None
         }
     }
 }
 
-/// The listener for metrics, where one is asked for. One that can't be had
-/// keeps no gateway from serving: its port may be taken on some instance.
+/// Binds the listener for metrics if one is configured. A failure does not prevent the gateway from
+/// serving: the port may be taken on some instance.
 async fn bind_metrics(settings: &mut GatewaySettings) -> Option<TcpListener> {
     let mut address = settings.metrics?;
     match bind(&mut address).await {
@@ -187,28 +189,28 @@
         }
         Err(error) => {
             settings.metrics = None;
-            tracing::warn!(event = events::METRICS_UNBOUND, %error, "no address for metrics");
+            tracing::warn!(event = events::METRICS_UNBOUND, %error, "cannot bind the metrics listener");
             None
         }
     }
 }
 
-fn follow<C: PlatformCodec>(state: &Arc<GatewayState>) {
+fn follow_tables<C: PlatformCodec>(state: &Arc<GatewayState>) {
     let store = state.settings.store;
     let config = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Configuration,
         sink: ConfigSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_PART),
-        pace: CONFIG_PACE,
+        wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_FRACTION),
+        pace: CONFIG_READ_INTERVAL,
         sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Configuration)),
     };
     let servers = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Servers,
         sink: ServerSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_PART),
-        pace: state.settings.drain_bound.mul_f64(SERVER_PACE_PART),
+        wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_FRACTION),
+        pace: state.settings.drain_bound.mul_f64(SERVER_READ_INTERVAL_FRACTION),
         sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Servers)),
     };
     let quarantines = TableFollower {
@@ -216,7 +218,7 @@
         table: StoreTable::Quarantines,
         sink: QuarantineSink::new(Arc::clone(state)),
         wait: QUARANTINE_WAIT,
-        pace: QUARANTINE_PACE,
+        pace: QUARANTINE_READ_INTERVAL,
         sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Quarantines)),
     };
     pool::spawn(config.run());
@@ -224,11 +226,11 @@
     pool::spawn(quarantines.run());
 }
 
-/// Writes where this gateway hears its peers, once the store takes it. The
-/// row is the same for each start of the instance, so writing it twice
-/// (after a lost answer) changes nothing. The others are read after that: of
-/// two gateways that start together one at least reads of the other.
-async fn register<C: PlatformCodec>(state: Arc<GatewayState>, book: Arc<PeerRegistry>) {
+/// Writes the address at which this gateway receives reports to the store, retrying until it
+/// succeeds. The row is the same for each start of the instance, so that writing it twice (after a
+/// lost response) changes nothing. The peers' rows are read afterwards: of two gateways that start
+/// together, at least one reads the other's row.
+async fn register<C: PlatformCodec>(state: Arc<GatewayState>, registry: Arc<PeerRegistry>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let member = MemberRow { address: state.settings.peer };
     let row = postcard::to_allocvec(&member).expect("encoding an address");
@@ -236,37 +238,37 @@
         match client.put(StoreTable::Members, &state.settings.instance, &row).await {
             Ok(()) => break,
             Err(error) => {
-                tracing::info!(event = events::STORE_LOST, table = "members", %error, "not registered yet");
-                smol::Timer::after(REGISTER_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
+                tracing::info!(event = events::STORE_LOST, table = "members", %error, "cannot register with the store; retrying");
+                smol::Timer::after(REGISTER_RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
             }
         }
     }
     let members = TableFollower {
         client,
         table: StoreTable::Members,
-        sink: MemberSink::new(state, book),
+        sink: MemberSink::new(state, registry),
         wait: Duration::ZERO,
-        pace: MEMBER_PACE,
+        pace: MEMBER_READ_INTERVAL,
         sharing: None,
     };
     members.run().await;
 }
 
-/// Logs when the number of gateways heard has changed from `before`.
+/// Logs a change of the number of live peers from `before`, and returns the number.
 fn log_peers(state: &GatewayState, before: usize, now: Instant) -> usize {
-    let heard = state.fleet().peers.live_peers(now);
-    if heard != before {
-        let event = if heard > before { events::PEER_REGAINED } else { events::PEER_LOST };
+    let live_peers = state.fleet().peers.live_peers(now);
+    if live_peers != before {
+        let event = if live_peers > before { events::PEER_REGAINED } else { events::PEER_LOST };
         let members = state.members();
-        tracing::info!(event, peers = heard, before, members, "gateways heard");
+        tracing::info!(event, peers = live_peers, before, members, "number of live peers changed");
     }
-    heard
+    live_peers
 }
 
-async fn tick(state: Arc<GatewayState>) {
-    let mut heard = 0;
+async fn run_maintenance(state: Arc<GatewayState>) {
+    let mut live_peers = 0;
     loop {
-        smol::Timer::after(TICK).await;
+        smol::Timer::after(MAINTENANCE_INTERVAL).await;
         let now = Instant::now();
         let changes = state.fleet().tick(now);
         state.log_changes(&changes, 0);
@@ -274,9 +276,9 @@
         let rank = state.fleet().peers.rank(state.digest, now);
         state.quarantines.tick(rank.peers_before == 0);
         state.quotas.tick(&state.quota_view());
-        heard = log_peers(&state, heard, now);
+        live_peers = log_peers(&state, live_peers, now);
         metrics::gauge!("umberglade_limited_servers").set(state.fleet().limits.in_force() as f64);
-        metrics::gauge!("umberglade_in_flight").set(f64::from(state.flights.requests()));
+        metrics::gauge!("umberglade_in_flight").set(f64::from(state.in_flight.requests()));
         metrics::gauge!("umberglade_kept_connections").set(state.pool.len() as f64);
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State shared by all requests of a gateway.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -34,70 +34,70 @@
 use crate::quota::QuotaPeers;
 use crate::quota::Quotas;
 use crate::service_queues::ServiceQueues;
-use crate::stop::GRACE_MARGIN;
-use crate::stop::LAST_CALL;
-use crate::stop::StopSwitch;
+use crate::stop::FORWARDING_CUTOFF;
+use crate::stop::STOP_GRACE_MARGIN;
+use crate::stop::StopSignal;
 use crate::store::SharedReadings;
 use crate::upstream::ConnectionPool;
 use crate::upstream::SendTarget;
 
-/// One process's state.
+/// The state of one gateway process.
 ///
-/// Lock order: none is ever held together with another, nor across an
-/// await; each is held to copy or change a few words.
+/// Lock order: no lock is held together with another or across an await; each is held only to copy
+/// or change a few words.
 #[derive(Debug)]
 pub struct GatewayState {
     pub settings: GatewaySettings,
-    /// The digest of this gateway's name.
+    /// Digest of this gateway's name.
     pub digest: u64,
     pub metrics: Option<PrometheusHandle>,
     pub pool: ConnectionPool,
-    pub stop: StopSwitch,
-    pub flights: InFlightCount,
+    pub stop: StopSignal,
+    pub in_flight: InFlightCount,
     pub service_queues: ServiceQueues,
-    /// Notified when streams begin, end or wait, which the other gateways
-    /// are told at once.
-    pub work_changed: Event,
-    /// Digests of gateways that have just started or are newly heard. Unless empty, the next
-    /// report includes what most reports omit.
-    pub newcomers: Mutex<Vec<u64>>,
-    /// Notified when the configuration should be read from the store at once.
+    /// Notified when the peers are to receive a report immediately, as when streams start, end or
+    /// queue.
+    pub report_due: Event,
+    /// Digests of peers that have just started or from which reports have just begun to arrive.
+    /// Unless empty, the next report includes what most reports omit.
+    pub new_peers: Mutex<Vec<u64>>,
+    /// Notified when the configuration should be read from the store immediately.
     pub config_due: Event,
-    /// Notified when a server may have room again, or more has become known.
-    pub room: Event,
-    /// Tables of the store that gateways read for each other.
+    /// Notified when a server may have capacity again, or more has become known.
+    pub capacity_changed: Event,
+    /// Store tables that gateways read for their peers.
     pub readings: SharedReadings,
-    /// Requests that are held back since servers crash under them.
+    /// Requests that are quarantined because servers crash while executing them.
     pub quarantines: Quarantines,
-    /// What organisations may still have run.
+    /// Remaining quotas of organisations.
     pub quotas: Quotas,
-    pub(crate) begun: Instant,
+    pub(crate) started_at: Instant,
     pub(crate) in_force: RwLock<InForce>,
     pub(crate) config_watch: Mutex<ConfigWatch>,
-    /// The gateway that told last of a newer configuration, and its version.
+    /// The peer that last reported a newer configuration, and that configuration's version.
     pub(crate) config_source: Mutex<Option<(SocketAddr, ConfigVersion)>>,
     fleet: Mutex<Fleet>,
     retries: Mutex<RetryBudget>,
     pub(crate) quota_peers: Mutex<Option<QuotaPeers>>,
-    /// Gateways registered in the store, this one included; at least 1.
+    /// Number of gateways registered in the store, including this one; at least 1.
     members: AtomicUsize,
 }
 
-/// How long after its start a process waits for the requests held back: reading
-/// them takes some 20 ms.
-const FIRST_READ: Duration = Duration::from_millis(400);
-/// Assumed until the members table is read: cautious for most sites.
-const FIRST_MEMBERS: usize = 8;
+/// Maximum time after its start that a process waits for the quarantined requests; reading them
+/// takes about 20 ms.
+const QUARANTINE_READ_TIMEOUT: Duration = Duration::from_millis(400);
+/// Number of gateways assumed until the members table is read: cautious for most sites.
+const INITIAL_MEMBERS: usize = 8;
 
 impl GatewayState {
-    /// The state of a process that knows nothing yet.
+    /// Returns the state of a process that has no configuration and no servers yet.
     pub fn new(settings: GatewaySettings, metrics: Option<PrometheusHandle>) -> Arc<Self> {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let retries = RetryBudget::new(
             settings.retry_ratio,
             settings.retry_slack,
             settings.retry_window,
-            begun,
+            started_at,
         );
         let digest = server_digest(&settings.instance);
         Arc::new(GatewayState {
@@ -106,86 +106,87 @@
             settings,
             metrics,
             pool: ConnectionPool::default(),
-            stop: StopSwitch::default(),
-            flights: InFlightCount::default(),
+            stop: StopSignal::default(),
+            in_flight: InFlightCount::default(),
             service_queues: ServiceQueues::default(),
-            work_changed: Event::new(),
-            newcomers: Mutex::default(),
+            report_due: Event::new(),
+            new_peers: Mutex::default(),
             config_due: Event::new(),
-            room: Event::new(),
-            quarantines: Quarantines::new(begun),
-            quotas: Quotas::new(begun),
-            begun,
+            capacity_changed: Event::new(),
+            quarantines: Quarantines::new(started_at),
+            quotas: Quotas::new(started_at),
+            started_at,
             in_force: RwLock::default(),
             config_watch: Mutex::default(),
             config_source: Mutex::default(),
             fleet: Mutex::new(Fleet::new(digest)),
             retries: Mutex::new(retries),
             quota_peers: Mutex::default(),
-            members: AtomicUsize::new(FIRST_MEMBERS),
+            members: AtomicUsize::new(INITIAL_MEMBERS),
         })
     }
 
-    /// Runs `change` on what is in force.
-    pub fn with_in_force<T>(&self, change: impl FnOnce(&mut InForce) -> T) -> T {
+    /// Runs `change` on the configuration in force.
+    pub fn with_config<T>(&self, change: impl FnOnce(&mut InForce) -> T) -> T {
         change(&mut self.in_force.write().expect("in-force lock"))
     }
 
-    /// The servers; held briefly, never across an await.
+    /// Locks the fleet. The lock is held briefly, never across an await.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().expect("fleet lock")
     }
 
-    /// Counts a caller's request towards the retry allowance.
-    pub fn note_request(&self, service: &ServiceName) {
+    /// Counts a caller's request towards the retry budget.
+    pub fn record_request(&self, service: &ServiceName) {
         self.retries.lock().expect("retries lock").record_request(service, Instant::now());
     }
 
-    /// Counts a send that a server of `service` rejected and that no allowance
-    /// was asked for.
-    pub fn note_repeat(&self, service: &ServiceName) {
+    /// Counts an attempt that a server of `service` rejected and for which the retry budget was not
+    /// consulted.
+    pub fn record_retry(&self, service: &ServiceName) {
         self.retries.lock().expect("retries lock").record_retry(service, Instant::now());
     }
 
-    /// True when one repeated send to `service` may be made.
-    pub fn spend_retry(&self, service: &ServiceName, use_for: RetryPriority) -> bool {
+    /// Consumes one retry to `service`. Returns true if the retry budget permits it.
+    pub fn consume_retry(&self, service: &ServiceName, priority: RetryPriority) -> bool {
         let now = Instant::now();
-        let heard = self.fleet().peers.retries(server_digest(service), now);
+        let peer_retries = self.fleet().peers.retries(server_digest(service), now);
         let members = self.members();
         let mut retries = self.retries.lock().expect("retries lock");
-        retries.consume(service, members, heard, use_for, now)
+        retries.consume(service, members, peer_retries, priority, now)
     }
 
-    /// This gateway's counts of requests and repeats, by service.
-    pub fn own_retries(&self) -> Vec<(u64, RetryCount)> {
+    /// Returns this gateway's counts of requests and retries, by service.
+    pub fn local_retries(&self) -> Vec<(u64, RetryCount)> {
         self.retries.lock().expect("retries lock").local_counts(Instant::now())
     }
 
-    /// Notes how a send ended, and says so when the server is passed over.
-    pub fn note_outcome(&self, target: &SendTarget, outcome: ServerOutcome) {
+    /// Records the outcome of an attempt, and logs if the server is ejected as a result.
+    pub fn record_outcome(&self, target: &SendTarget, outcome: ServerOutcome) {
         let now = Instant::now();
         let server = &*target.server;
         let mut fleet = self.fleet();
-        let was_aside =
+        let was_ejected =
             fleet.server(server).is_some_and(|server_state| server_state.health.is_ejected(now));
         fleet.record_outcome(server, target.incarnation, outcome, now);
         let Some(server_state) = fleet.server(server) else { return };
         let failure_share = server_state.health.failure_fraction(now);
         let is_ejected = server_state.health.is_ejected(now);
         drop(fleet);
-        if is_ejected && !was_aside {
+        if is_ejected && !was_ejected {
             metrics::counter!("umberglade_server_aside_total").increment(1);
             tracing::warn!(
                 event = events::SERVER_ASIDE,
                 server,
                 outcome = %outcome,
                 failure_share,
-                "server passed over"
+                "server ejected"
             );
         }
     }
 
-    /// Logs what changed among the servers.
+    /// Logs changes among the servers, and drops the pooled connections of those that are leaving,
+    /// removed or restarted.
     pub fn log_changes(&self, changes: &[FleetChange], version: u64) {
         for change in changes {
             let (server, outcome) = match change {
@@ -201,95 +202,96 @@
             tracing::info!(event = events::SERVER_CHANGED, %server, version, outcome, "server changed");
         }
         if !changes.is_empty() {
-            self.room.notify(usize::MAX);
+            self.capacity_changed.notify(usize::MAX);
         }
     }
 
-    /// The lines for `service` at all other gateways.
-    pub fn other_lines(&self, service: &ServiceName) -> PeerQueues {
+    /// Returns the admission queues for `service` at all peers.
+    pub fn peer_queues(&self, service: &ServiceName) -> PeerQueues {
         self.fleet().peers.queues(server_digest(service), Instant::now())
     }
 
-    /// What this gateway's own streams were like, for each service with engines;
-    /// for a report to the peers.
-    pub fn own_learning(&self) -> Vec<(u64, EngineEstimates)> {
-        let Some(table) = self.table() else { return Vec::new() };
+    /// Returns the estimates from this gateway's own streams, for each service with engines, for a
+    /// report to the peers.
+    pub fn local_estimates(&self) -> Vec<(u64, EngineEstimates)> {
+        let Some(table) = self.route_table() else { return Vec::new() };
         let services = table.services.iter().filter(|(_, spec)| spec.engine.is_some());
         services
             .map(|(service, _)| (server_digest(service), self.service_queues.learned(service)))
             .collect()
     }
 
-    /// What all gateways have learned of the engines of `service`.
-    pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
-        let own = self.service_queues.learned(service);
+    /// Returns the estimates for the engines of `service`, pooled from all gateways.
+    pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
+        let local = self.service_queues.learned(service);
         let fleet = self.fleet();
-        let others = fleet.peers.estimates(server_digest(service));
-        EngineEstimates::pooled(others.chain([own]))
+        let peers = fleet.peers.estimates(server_digest(service));
+        EngineEstimates::pooled(peers.chain([local]))
     }
 
-    /// Gateways registered, this one included.
+    /// Returns the number of registered gateways, including this one.
     pub fn members(&self) -> usize {
         self.members.load(Ordering::Relaxed).max(1)
     }
 
-    /// Takes in how many gateways are registered.
+    /// Sets the number of registered gateways.
     pub fn set_members(&self, count: usize) {
         self.members.store(count.max(1), Ordering::Relaxed);
         self.fleet().set_gateways(count.max(1));
     }
 
-    /// True when callers should be sent here.
+    /// Returns true if the balancer should send callers to this gateway.
     pub fn is_ready(&self) -> bool {
-        !self.stop.has_begun() && self.is_known()
+        !self.stop.is_stopping() && self.is_initialized()
     }
 
-    /// True when a stop has gone on for so long that a request sent on now
-    /// might be cut by the process's end.
-    pub fn is_past_last_call(&self) -> bool {
-        let latest = self.settings.stop_grace.saturating_sub(GRACE_MARGIN);
-        self.stop.has_lasted(latest.saturating_sub(LAST_CALL))
+    /// Returns true if the stop has lasted so long that the process's end might cut a request
+    /// forwarded now.
+    pub fn is_past_forwarding_cutoff(&self) -> bool {
+        let latest = self.settings.stop_grace.saturating_sub(STOP_GRACE_MARGIN);
+        self.stop.has_elapsed(latest.saturating_sub(FORWARDING_CUTOFF))
     }
 
-    /// Returns once a configuration, servers and the requests held back are
-    /// known; the last are waited for only in the first [`FIRST_READ`], so that
-    /// a table that can't be read keeps nobody waiting.
-    pub async fn known(&self) {
+    /// Waits until a configuration, servers and the quarantined requests are known. Waits for the
+    /// last only until [`QUARANTINE_READ_TIMEOUT`] after the start, so that an unreadable table does
+    /// not block callers.
+    pub async fn wait_until_initialized(&self) {
         loop {
-            let changed = self.room.listen();
-            let knows_held = self.quarantines.is_read() || self.begun.elapsed() > FIRST_READ;
-            if self.is_known() && knows_held {
+            let changed = self.capacity_changed.listen();
+            let has_quarantines =
+                self.quarantines.is_read() || self.started_at.elapsed() > QUARANTINE_READ_TIMEOUT;
+            if self.is_initialized() && has_quarantines {
                 return;
             }
             changed.await;
         }
     }
 
-    /// A request of `content` was answered whole by `target`.
-    pub fn note_whole(&self, content: RequestFingerprint, target: &SendTarget) {
-        if self.quarantines.record_completion(content, target) {
-            self.room.notify(usize::MAX);
-            // The others hold it back until they are told.
-            self.work_changed.notify(1);
+    /// Records that `target` completed a request with `fingerprint`.
+    pub fn record_completion(&self, fingerprint: RequestFingerprint, target: &SendTarget) {
+        if self.quarantines.record_completion(fingerprint, target) {
+            self.capacity_changed.notify(usize::MAX);
+            // Peers quarantine the request until they receive the report.
+            self.report_due.notify(1);
         }
     }
 
-    /// A send of a request broke at `target`, which may have crashed under it
-    /// after it had given events for `lived`.
-    pub fn note_crash(
+    /// Records that an attempt broke off at `target`, which may have crashed while executing it,
+    /// after it had sent events for `run_duration`.
+    pub fn record_crash(
         &self,
         request_id: &str,
-        content: RequestFingerprint,
+        fingerprint: RequestFingerprint,
         target: &SendTarget,
-        lived: Duration,
+        run_duration: Duration,
     ) {
-        if self.quarantines.record_crash(request_id, content, target, lived) {
-            self.room.notify(usize::MAX);
+        if self.quarantines.record_crash(request_id, fingerprint, target, run_duration) {
+            self.capacity_changed.notify(usize::MAX);
         }
-        self.work_changed.notify(1);
+        self.report_due.notify(1);
     }
 
-    fn is_known(&self) -> bool {
-        self.table().is_some() && !self.fleet().is_empty()
+    fn is_initialized(&self) -> bool {
+        self.route_table().is_some() && !self.fleet().is_empty()
     }
 }
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A graceful stop: when it began, and what that means for connections.
+//! The graceful stop: its start, and the delays and margins that follow from it.
 
 use std::sync::OnceLock;
 use std::time::Duration;
@@ -6,56 +6,54 @@
 
 use event_listener::Event;
 
-/// From the stop's beginning until the balancer has surely noticed: it asks
-/// once a second and takes an instance out after two misses. Callers that
-/// connect meanwhile are served.
-pub const NOTICE_TIME: Duration = Duration::from_millis(2200);
-/// When idle connections are closed, and new long work is refused: what
-/// begins later might not end within the usual grace.
-pub const CLOSE_TIME: Duration = Duration::from_millis(3000);
-/// The least time a stop takes: callers that still connect find a listener.
-pub const MIN_STOP: Duration = Duration::from_millis(3600);
-/// Before the latest end, how long new requests are no longer sent on: as
-/// long as the callers of short calls wait. Guards against a call cut with
-/// its server at work: where the balancer has too few other instances it
-/// sends callers until the process ends.
-pub const LAST_CALL: Duration = Duration::from_millis(1000);
-/// How long the last answers of connections that are not waited for may take
-/// to be written out; some hundred times what it takes on an idle instance.
-pub const FLUSH_TIME: Duration = Duration::from_millis(100);
-/// Left of the grace when the process ends in any case.
-pub const GRACE_MARGIN: Duration = Duration::from_millis(300);
-
-/// Whether and since when this process is stopping.
+/// Delay from the start of a stop until the load balancer has certainly removed the instance: it
+/// checks once a second and removes an instance after two failed checks. Callers that connect
+/// during this delay are served.
+pub const BALANCER_NOTICE_DELAY: Duration = Duration::from_millis(2200);
+/// Delay from the start of a stop until idle connections are closed and new long requests are
+/// rejected: a long request that starts later may not end within the usual grace period.
+pub const IDLE_CLOSE_DELAY: Duration = Duration::from_millis(3000);
+/// Minimum duration of a stop, so that callers that still connect find a listener.
+pub const MIN_STOP_DURATION: Duration = Duration::from_millis(3600);
+/// Time before the latest end of the process from which new requests are not forwarded: as long as
+/// the callers of short calls wait. Prevents the process's end from cutting a call that its server
+/// is executing: a balancer with too few other instances sends callers until the process ends.
+pub const FORWARDING_CUTOFF: Duration = Duration::from_millis(1000);
+/// Time for the last responses to be written to connections that the stop does not wait for; about
+/// a hundred times what this takes on an idle instance.
+pub const FLUSH_DELAY: Duration = Duration::from_millis(100);
+/// Part of the grace period that is left when the process ends regardless of requests in flight.
+pub const STOP_GRACE_MARGIN: Duration = Duration::from_millis(300);
+
+/// Whether this process is stopping, and since when.
 #[derive(Debug, Default)]
-pub struct StopSwitch {
-    begun_at: OnceLock<Instant>,
-    begun: Event,
+pub struct StopSignal {
+    started_at: OnceLock<Instant>,
+    started: Event,
 }
 
-impl StopSwitch {
-    /// Begins the stop; only the first call counts.
+impl StopSignal {
+    /// Starts the stop. Further calls have no effect.
     pub fn begin(&self, now: Instant) {
-        let _ = self.begun_at.set(now);
-        self.begun.notify(usize::MAX);
+        let _ = self.started_at.set(now);
+        self.started.notify(usize::MAX);
     }
 
-    /// True once the stop has begun.
-    pub fn has_begun(&self) -> bool {
-        self.begun_at.get().is_some()
+    pub fn is_stopping(&self) -> bool {
+        self.started_at.get().is_some()
     }
 
-    /// True once the stop began at least `since` ago.
-    pub fn has_lasted(&self, since: Duration) -> bool {
-        self.begun_at.get().is_some_and(|at| at.elapsed() >= since)
+    /// Returns true if the stop started at least `delay` ago.
+    pub fn has_elapsed(&self, delay: Duration) -> bool {
+        self.started_at.get().is_some_and(|started_at| started_at.elapsed() >= delay)
     }
 
-    /// Returns once the stop began `since` ago.
-    pub async fn lasted(&self, since: Duration) {
+    /// Waits until `delay` after the start of the stop; without a stop, waits for one.
+    pub async fn wait_elapsed(&self, delay: Duration) {
         loop {
-            let listener = self.begun.listen();
-            if let Some(at) = self.begun_at.get() {
-                smol::Timer::at(*at + since).await;
+            let listener = self.started.listen();
+            if let Some(started_at) = self.started_at.get() {
+                smol::Timer::at(*started_at + delay).await;
                 return;
             }
             listener.await;
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -41,7 +41,7 @@
             }
         };
         match C::route_table(&row.key, value) {
-            Ok(Some(table)) => drop(self.state.put_in_force(row.version, table, "store")),
+            Ok(Some(table)) => drop(self.state.apply_config(row.version, table, "store")),
             Ok(None) => {}
             Err(error) => tracing::error!(
                 event = events::CONFIG_IGNORED,
@@ -69,7 +69,7 @@
     }
 
     fn read(&mut self) {
-        self.state.note_config_fresh(Instant::now());
+        self.state.record_config_fresh(Instant::now());
     }
 
     fn due(&self) -> Option<EventListener> {
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -41,7 +41,7 @@
             RowValue::Held(value) => match postcard::from_bytes::<QuarantineRow>(value) {
                 Ok(held) => {
                     if self.state.quarantines.apply_row(content, held, row.version) {
-                        self.state.room.notify(usize::MAX);
+                        self.state.capacity_changed.notify(usize::MAX);
                     }
                 }
                 Err(error) => log_unreadable(StoreTable::Quarantines, row, &error.to_string()),
@@ -75,6 +75,6 @@
 
     fn read(&mut self) {
         self.state.quarantines.mark_read();
-        self.state.room.notify(usize::MAX);
+        self.state.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/store/shared_reading.rs
+++ b/crates/gateway/src/store/shared_reading.rs
@@ -11,7 +11,7 @@
 use crate::cluster::TableReaders;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
-use crate::timing::waking_clock;
+use crate::timing::boottime_clock;
 
 /// Rows told by others that wait to be taken in. More than that is no longer a
 /// change but a table: it is read from the store.
@@ -34,7 +34,7 @@
     pub table: StoreTable,
     roster: Mutex<TableReaders>,
     told: Mutex<VecDeque<StoreRow>>,
-    /// When the store answered last, by [`waking_clock`].
+    /// When the store answered last, by [`boottime_clock`].
     read_waking: Mutex<Duration>,
     /// Notified when rows were told.
     pub news: Event,
@@ -60,7 +60,7 @@
 
     /// The store has answered a read of our own.
     pub fn note_read(&self, fingerprint: u64) {
-        *self.read_waking.lock().expect("read time lock") = waking_clock();
+        *self.read_waking.lock().expect("read time lock") = boottime_clock();
         self.roster().record_read(fingerprint, Instant::now());
     }
 
@@ -68,7 +68,7 @@
     pub fn notice(&self, now: Instant) -> Option<TableNotice> {
         let own = self.roster().local_notice(now)?;
         let read_waking = *self.read_waking.lock().expect("read time lock");
-        let age = waking_clock().saturating_sub(read_waking);
+        let age = boottime_clock().saturating_sub(read_waking);
         Some(TableNotice {
             table: self.table,
             fingerprint: own.fingerprint,
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -18,7 +18,7 @@
 use crate::model::StoreRow;
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// The pause after a first failed call, doubled with each in a row.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
@@ -157,7 +157,7 @@
             }
             true
         };
-        by_deadline(until, woken.or(is_due)).await.unwrap_or(false)
+        with_deadline(until, woken.or(is_due)).await.unwrap_or(false)
     }
 
     /// Takes in rows that others told; true when some say something new. A gateway
