--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -189,7 +189,11 @@
         }
         Err(error) => {
             settings.metrics = None;
-            tracing::warn!(event = events::METRICS_UNBOUND, %error, "cannot bind the metrics listener");
+            tracing::warn!(
+                event = events::METRICS_UNBOUND,
+                %error,
+                "cannot bind the metrics listener"
+            );
             None
         }
     }
@@ -238,7 +242,12 @@
         match client.put(StoreTable::Members, &state.settings.instance, &row).await {
             Ok(()) => break,
             Err(error) => {
-                tracing::info!(event = events::STORE_LOST, table = "members", %error, "cannot register with the store; retrying");
+                tracing::info!(
+                    event = events::STORE_LOST,
+                    table = "members",
+                    %error,
+                    "cannot register with the store; retrying"
+                );
                 smol::Timer::after(REGISTER_RETRY_DELAY.mul_f64(0.5 + fastrand::f64())).await;
             }
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -58,7 +58,7 @@
     /// Notified when the peers are to receive a report immediately, as when streams start, end or
     /// queue.
     pub report_due: Event,
-    /// Digests of peers that have just started or from which reports have just begun to arrive.
+    /// Digests of peers that have just started or from which reports have just started to arrive.
     /// Unless empty, the next report includes what most reports omit.
     pub new_peers: Mutex<Vec<u64>>,
     /// Notified when the configuration should be read from the store immediately.
@@ -211,7 +211,7 @@
         self.fleet().peers.queues(server_digest(service), Instant::now())
     }
 
-    /// Returns the estimates from this gateway's own streams, for each service with engines, for a
+    /// Returns the estimates from this gateway's streams, for each service with engines, for a
     /// report to the peers.
     pub fn local_estimates(&self) -> Vec<(u64, EngineEstimates)> {
         let Some(table) = self.route_table() else { return Vec::new() };
@@ -252,9 +252,9 @@
         self.stop.has_elapsed(latest.saturating_sub(FORWARDING_CUTOFF))
     }
 
-    /// Waits until a configuration, servers and the quarantined requests are known. Waits for the
-    /// last only until [`QUARANTINE_READ_TIMEOUT`] after the start, so that an unreadable table does
-    /// not block callers.
+    /// Waits until a configuration, servers and the quarantined requests are known. The wait for
+    /// the last ends [`QUARANTINE_READ_TIMEOUT`] after the start, so that an unreadable table does
+    /// not delay callers.
     pub async fn wait_until_initialized(&self) {
         loop {
             let changed = self.capacity_changed.listen();
