--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -26,8 +26,8 @@
 use crate::forward;
 use crate::forward::GatewayBody;
 use crate::state::GatewayState;
-use crate::stop::CLOSE_TIME;
-use crate::stop::NOTICE_TIME;
+use crate::stop::BALANCER_NOTICE_DELAY;
+use crate::stop::IDLE_CLOSE_DELAY;
 
 /// Delay after a failed accept, which mostly means that file descriptors have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
@@ -52,7 +52,7 @@
 }
 
 async fn serve_connection<C: PlatformCodec>(stream: TcpStream, state: Arc<GatewayState>) {
-    let limits = state.table().map(|table| table.limits).unwrap_or_default();
+    let limits = state.route_table().map(|table| table.limits).unwrap_or_default();
     let service_state = Arc::clone(&state);
     let service =
         service_fn(move |request| handle_request::<C>(Arc::clone(&service_state), request));
@@ -72,14 +72,14 @@
     };
     // A connection opened after that time is not closed while idle: its first request may be on its
     // way, and the response to it closes the connection.
-    let opened_after_close = state.stop.has_lasted(CLOSE_TIME);
+    let opened_after_close = state.stop.has_elapsed(IDLE_CLOSE_DELAY);
     // Connections opened after that time may stay idle, and shutdown does not wait for them.
-    let _connection_guard = (!opened_after_close).then(|| state.flights.enter_connection());
+    let _connection_guard = (!opened_after_close).then(|| state.in_flight.enter_connection());
     let close_time_passed = async {
         if opened_after_close {
             std::future::pending::<()>().await;
         }
-        state.stop.lasted(CLOSE_TIME).await;
+        state.stop.wait_elapsed(IDLE_CLOSE_DELAY).await;
         false
     };
     if !connection_ended.or(close_time_passed).await {
@@ -92,12 +92,12 @@
     state: Arc<GatewayState>,
     request: Request<Incoming>,
 ) -> Result<Response<GatewayBody>, CallAborted> {
-    let _in_flight = state.flights.enter_request();
+    let _in_flight = state.in_flight.enter_request();
     let mut response = match read_call::<C>(&state, request).await? {
         ReadOutcome::Call(call) => forward::forward::<C>(&state, call).await,
         ReadOutcome::Rejected(response) => response,
     };
-    if state.stop.has_lasted(NOTICE_TIME) {
+    if state.stop.has_elapsed(BALANCER_NOTICE_DELAY) {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
     Ok(response)
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -28,7 +28,7 @@
 impl GatewayState {
     /// Returns how long the process has run.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Returns this gateway's view of its peers for granting units of a quota.
