--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -27,7 +27,7 @@
 /// Failure domains of each size.
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 /// One engine in this many reads prompts.
-const READER_EVERY: usize = 3;
+const ENGINES_PER_PREFILL_SERVER: usize = 3;
 /// Servers at which one gateway has work.
 const BUSY_SERVERS: usize = 4;
 
@@ -56,7 +56,7 @@
     }
 }
 
-fn news(servers: usize, peer: usize, round: usize) -> PeerUpdate {
+fn peer_update(servers: usize, peer: usize, round: usize) -> PeerUpdate {
     let load = LoadShare::of_stream(&SHAPE);
     let at = |index: usize| (peer * 7 + index * 31 + round) % servers;
     let loads =
@@ -68,13 +68,13 @@
 fn site(gateways: usize, servers: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::default();
     for at in 0..servers {
-        let is_reader = at % READER_EVERY == 0;
-        let stage = if is_reader { ServerStage::Prefill } else { ServerStage::Decode };
+        let is_prefill = at % ENGINES_PER_PREFILL_SERVER == 0;
+        let stage = if is_prefill { ServerStage::Prefill } else { ServerStage::Decode };
         fleet.upsert(entry("engine", at, stage), at as u64 + 1);
         fleet.upsert(entry("plain", at, ServerStage::Plain), (servers + at) as u64 + 1);
     }
     for peer in 1..gateways {
-        fleet.peers.record(&format!("gw-{peer}"), 1, 1, news(servers, peer, 0), now);
+        fleet.peers.record(&format!("gw-{peer}"), 1, 1, peer_update(servers, peer, 0), now);
     }
     fleet
 }
@@ -86,21 +86,22 @@
         let mut group = criterion.benchmark_group(format!("{gateways} gateways {servers} servers"));
         let mut fleet = site(gateways, servers, now);
         let gateway = server_digest("gw-0");
-        let need =
+        let request =
             |service| PlacementRequest { service, gateway, domain: &domain, tried: &[], now };
         group.bench_function("place_engine", |bench| {
-            bench.iter(|| place_engine(black_box(&fleet), &spec(), &SHAPE, 0, &need("engine")));
+            bench.iter(|| place_engine(black_box(&fleet), &spec(), &SHAPE, 0, &request("engine")));
         });
         group.bench_function("place_plain", |bench| {
-            bench.iter(|| place_plain(black_box(&fleet), &need("plain")));
+            bench.iter(|| place_plain(black_box(&fleet), &request("plain")));
         });
-        let reports: Vec<PeerUpdate> = (0..64).map(|round| news(servers, 1, round)).collect();
+        let reports: Vec<PeerUpdate> =
+            (0..64).map(|round| peer_update(servers, 1, round)).collect();
         let mut sequence = 1;
         group.bench_function("take_report", |bench| {
             bench.iter(|| {
                 sequence += 1;
-                let news = reports[sequence as usize % reports.len()].clone();
-                fleet.peers.record("gw-1", 1, sequence, news, now)
+                let peer_update = reports[sequence as usize % reports.len()].clone();
+                fleet.peers.record("gw-1", 1, sequence, peer_update, now)
             });
         });
     }
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -34,7 +34,7 @@
     /// Where the balancer asks whether this instance takes callers.
     const READY_PATH: &'static str;
     /// The header by which a request is for one server alone.
-    const ONLY_FOR: &'static str;
+    const TARGET_SERVER_HEADER: &'static str;
 
     /// Decodes a caller's request head.
     fn call_head(headers: &HeaderMap) -> CallHead;
@@ -42,18 +42,18 @@
     /// The headers with which a caller's request is sent on: the caller's
     /// own, less those of one connection and those only we may set, plus
     /// what `order` says.
-    fn onward_headers(headers: &HeaderMap, order: &OnwardOrder) -> HeaderMap;
+    fn upstream_headers(headers: &HeaderMap, order: &OnwardOrder) -> HeaderMap;
 
     /// Puts what servers are told of who calls into `headers`, whatever the
     /// caller sent there, and takes its key out where organisations hold keys.
-    fn mark_caller(headers: &mut HeaderMap, caller: &CallerMark);
+    fn set_caller_headers(headers: &mut HeaderMap, caller: &CallerMark);
 
     /// Decodes a backend server's answer head.
-    fn reply_head(headers: &HeaderMap) -> ReplyHead;
+    fn response_head(headers: &HeaderMap) -> ReplyHead;
 
     /// The headers of an answer as the caller gets them: less those of one
     /// connection.
-    fn reply_headers(headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(headers: &HeaderMap) -> HeaderMap;
 
     /// Decodes a prefill server's answer body.
     fn prefill_result(body: &[u8]) -> Result<PrefillResult, CodecError>;
@@ -73,20 +73,24 @@
 
     /// The path (`POST`) and body that write one row of our own, whatever
     /// it held.
-    fn put_call(table: StoreTable, key: &str, value: &[u8]) -> (String, Bytes);
+    fn put_request(table: StoreTable, key: &str, value: &[u8]) -> (String, Bytes);
 
     /// The path (`POST`) and body that write one row if it still has version
     /// `known`; 0 where there must be none.
-    fn claim_call(
+    fn claim_request(
         table: StoreTable,
         key: &str,
         value: &[u8],
-        known: StoreVersion,
+        expected_version: StoreVersion,
     ) -> (String, Bytes);
 
     /// The path (`POST`) and body that remove one row if it still has version
     /// `known`.
-    fn remove_call(table: StoreTable, key: &str, known: StoreVersion) -> (String, Bytes);
+    fn remove_request(
+        table: StoreTable,
+        key: &str,
+        expected_version: StoreVersion,
+    ) -> (String, Bytes);
 
     /// Decodes the answer to a write that was done: the store's version by
     /// then.
@@ -99,7 +103,7 @@
     fn engine_report(body: &[u8]) -> Result<EngineReport, CodecError>;
 
     /// The path (`POST`) and body of an order to an engine.
-    fn order_call(order: &StageOrder) -> (String, Bytes);
+    fn order_request(order: &StageOrder) -> (String, Bytes);
 
     /// Decodes a row of [`StoreTable::Configuration`]; `None` when the row
     /// holds something else.
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -39,7 +39,7 @@
             return;
         }
         tracing::info!(
-            event = events::CONFIG_HEARD,
+            event = events::NEWER_CONFIG_REPORTED,
             version,
             own,
             peer,
--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -85,7 +85,7 @@
 pub(super) fn log_held(call: &Call, held: QuarantineStatus, sends: u32, outcome: &str) {
     metrics::counter!("umberglade_calls_held_total").increment(1);
     tracing::info!(
-        event = events::CALL_HELD_BACK,
+        event = events::CALL_QUARANTINED,
         request_id = call.id(),
         content = fingerprint_key(call.content),
         service = %call.service,
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -90,7 +90,7 @@
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = C::onward_headers(&self.headers, order);
+        *request.headers_mut() = C::upstream_headers(&self.headers, order);
         request
     }
 }
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -193,7 +193,7 @@
         running += server_state.local_load.plus(others.load).running;
     }
     tracing::info!(
-        event = events::NO_ROOM,
+        event = events::NO_CAPACITY,
         request_id = call.id(),
         service = %call.service,
         config = call.config,
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -126,7 +126,7 @@
             return Err(fail(state, call, target, failure, &problem));
         }
     };
-    let head = C::reply_head(response.headers());
+    let head = C::response_head(response.headers());
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().record_malformed(&target.server, Instant::now());
@@ -187,7 +187,7 @@
     let kind = failure.to_string();
     metrics::counter!("umberglade_send_failures_total", "failure" => kind).increment(1);
     tracing::info!(
-        event = events::SEND_FAILED,
+        event = events::ATTEMPT_FAILED,
         request_id = call.id(),
         content = fingerprint_key(call.content),
         server = %target.server,
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -257,7 +257,7 @@
     }
     let mut response = Response::new(answer::whole(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = C::reply_headers(&parts.headers);
+    *response.headers_mut() = C::response_headers(&parts.headers);
     SendEnd::Answered(response)
 }
 
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -168,7 +168,7 @@
         charge.give_back();
     }
     tracing::info!(
-        event = events::CALL_REFUSED,
+        event = events::CALL_REJECTED,
         request_id = call.id(),
         content = fingerprint_key(call.content),
         route = %call.route.name,
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -304,7 +304,7 @@
     fn log_end(&self, end: RelayEnd) {
         let event = match end {
             RelayEnd::Whole => events::CALL_DONE,
-            RelayEnd::CallerLeft => events::CALLER_LEFT,
+            RelayEnd::CallerLeft => events::CALLER_DISCONNECTED,
             RelayEnd::Expired | RelayEnd::Broken => events::STREAM_BROKEN,
         };
         let outcome = end.to_string();
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -97,7 +97,7 @@
     state.note_outcome(&target, ServerOutcome::Fine);
     OpenEnd::Stream(Box::new(OpenStream {
         status,
-        headers: C::reply_headers(&parts.headers),
+        headers: C::response_headers(&parts.headers),
         first,
         reader,
         target,
@@ -115,6 +115,6 @@
     let body = body.collect().await?.to_bytes();
     let mut response = Response::new(answer::whole(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = C::reply_headers(&parts.headers);
+    *response.headers_mut() = C::response_headers(&parts.headers);
     Ok(response)
 }
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -82,7 +82,7 @@
         return Ok(refused(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::mark_caller(&mut parts.headers, &mark);
+    C::set_caller_headers(&mut parts.headers, &mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
         None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
@@ -219,7 +219,7 @@
     config: u64,
 ) -> ReadEnd {
     tracing::info!(
-        event = events::CALL_REFUSED,
+        event = events::CALL_REJECTED,
         request_id,
         reason = %refusal,
         status = refusal.status().as_u16(),
--- a/crates/gateway/src/leader/claim.rs
+++ b/crates/gateway/src/leader/leader_row.rs
@@ -8,7 +8,7 @@
 /// How long a claim excludes other gateways. Orders are sent within two
 /// seconds of it, and engines must not hear two gateways within three
 /// seconds of each other; the rest is for orders that travel slowly.
-pub const LEASE_TIME: Duration = Duration::from_secs(12);
+pub const LEASE_DURATION: Duration = Duration::from_secs(12);
 
 /// Who may give orders, until when by the store's own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -23,6 +23,6 @@
 /// would undo the other's change, and an engine that does not check fencing
 /// numbers obeys both. A holder that froze finds its own claim too old by
 /// its own clock; one that died is waited for.
-pub fn may_claim(row: Option<&LeaderRow>, store_time: Duration) -> bool {
+pub fn is_claimable(row: Option<&LeaderRow>, store_time: Duration) -> bool {
     row.is_none_or(|row| row.until <= store_time)
 }
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -3,11 +3,11 @@
 //! Who may is settled by a row of the store, claimed for a while before each
 //! set of orders. Nothing is held while there is nothing to do.
 
-mod claim;
-mod keeper;
+mod leader_row;
 mod order;
+mod stage_controller;
 
-pub use self::claim::LEASE_TIME;
-pub use self::claim::LeaderRow;
-pub use self::claim::may_claim;
-pub use self::keeper::run_stage_controller;
+pub use self::leader_row::LEASE_DURATION;
+pub use self::leader_row::LeaderRow;
+pub use self::leader_row::is_claimable;
+pub use self::stage_controller::run_stage_controller;
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -30,18 +30,18 @@
 use crate::upstream::SendTarget;
 
 /// How long an engine may take to answer: some hundred times its usual.
-const ANSWER_TIME: Duration = Duration::from_millis(400);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
-const REPORT_STEP: &str = "report";
-const ORDER_STEP: &str = "order";
+const FETCH_REPORT: &str = "report";
+const SEND_ORDER: &str = "order";
 
 /// Why an engine was not told, or may not have been.
 #[derive(Debug, Snafu)]
 pub enum OrderError {
     #[snafu(display("{step} at {peer}: {source}"))]
     Send { step: &'static str, peer: SocketAddr, source: SendError },
-    #[snafu(display("{step} at {peer}: no answer within {} ms", ANSWER_TIME.as_millis()))]
-    Late { step: &'static str, peer: SocketAddr },
+    #[snafu(display("{step} at {peer}: no answer within {} ms", RESPONSE_TIMEOUT.as_millis()))]
+    Timeout { step: &'static str, peer: SocketAddr },
     #[snafu(display("{step} at {peer}: {source}"))]
     Body { step: &'static str, peer: SocketAddr, source: hyper::Error },
     #[snafu(display("{step} at {peer}: status {status}"))]
@@ -53,7 +53,7 @@
     #[snafu(display("{peer} is changing already"))]
     Changing { peer: SocketAddr },
     #[snafu(display("the claim is too old for a further order"))]
-    ClaimOld,
+    ClaimExpired,
 }
 
 /// Tells the engine at `target` to change to `stage`. `may_still` is asked
@@ -63,44 +63,44 @@
 /// itself. Guards against an order that takes effect on an engine's next
 /// start: that one has the same id and has accepted no orders, as the one
 /// before it may have; a connection ends with its process.
-pub async fn give_order<C: PlatformCodec>(
+pub async fn send_order<C: PlatformCodec>(
     state: &GatewayState,
     target: &SendTarget,
     stage: ServerStage,
     fence: StoreVersion,
-    may_still: impl Fn() -> bool,
+    is_within_window: impl Fn() -> bool,
 ) -> Result<(), OrderError> {
     let peer = target.address;
     let request = engine_request::<C>(target, Method::GET, C::REPORT_PATH, Bytes::new());
-    let asked = async {
+    let report_exchange = async {
         let sent = upstream::send(&state.pool, target, request).await;
-        let (response, connection) = sent.context(SendSnafu { step: REPORT_STEP, peer })?;
-        Ok((read_body(response, REPORT_STEP, peer).await?, connection))
+        let (response, connection) = sent.context(SendSnafu { step: FETCH_REPORT, peer })?;
+        Ok((read_body(response, FETCH_REPORT, peer).await?, connection))
     };
-    let (body, mut connection) = in_time(asked, REPORT_STEP, peer).await?;
+    let (body, mut connection) = with_timeout(report_exchange, FETCH_REPORT, peer).await?;
     let report: EngineReport = C::engine_report(&body).context(ReportSnafu { peer })?;
-    snafu::ensure!(is_same_start(target, &report), RestartedSnafu { peer });
+    snafu::ensure!(is_same_incarnation(target, &report), RestartedSnafu { peer });
     snafu::ensure!(!report.is_changing, ChangingSnafu { peer });
     if report.stage == stage {
         return Ok(());
     }
     let holder = state.settings.instance.clone();
     let order = StageOrder { stage, holder, fence, after_orders: report.orders };
-    let (path, body) = C::order_call(&order);
+    let (path, body) = C::order_request(&order);
     let request = engine_request::<C>(target, Method::POST, &path, body);
-    snafu::ensure!(may_still(), ClaimOldSnafu);
-    let ordered = async {
-        connection.ready().await.context(BodySnafu { step: ORDER_STEP, peer })?;
+    snafu::ensure!(is_within_window(), ClaimExpiredSnafu);
+    let order_exchange = async {
+        connection.ready().await.context(BodySnafu { step: SEND_ORDER, peer })?;
         let sent = connection.send_request(request).await;
-        let response = sent.context(BodySnafu { step: ORDER_STEP, peer })?;
-        read_body(response, ORDER_STEP, peer).await
+        let response = sent.context(BodySnafu { step: SEND_ORDER, peer })?;
+        read_body(response, SEND_ORDER, peer).await
     };
-    in_time(ordered, ORDER_STEP, peer).await?;
+    with_timeout(order_exchange, SEND_ORDER, peer).await?;
     Ok(())
 }
 
 /// False when the engine has started again since `target` was looked up.
-fn is_same_start(target: &SendTarget, report: &EngineReport) -> bool {
+fn is_same_incarnation(target: &SendTarget, report: &EngineReport) -> bool {
     report.started_at.is_none()
         || server_incarnation(&target.server, report.started_at) == target.incarnation
 }
@@ -116,7 +116,7 @@
         .uri(path)
         .header(http::header::HOST, target.address.to_string())
         .header(http::header::CONTENT_TYPE, "application/json")
-        .header(C::ONLY_FOR, &*target.server)
+        .header(C::TARGET_SERVER_HEADER, &*target.server)
         .body(Full::new(body))
         .expect("a request built from valid parts")
 }
@@ -132,10 +132,12 @@
     Ok(body.to_bytes())
 }
 
-async fn in_time<T>(
-    answer: impl Future<Output = Result<T, OrderError>>,
+async fn with_timeout<T>(
+    response: impl Future<Output = Result<T, OrderError>>,
     step: &'static str,
     peer: SocketAddr,
 ) -> Result<T, OrderError> {
-    by_deadline(Instant::now() + ANSWER_TIME, answer).await.context(LateSnafu { step, peer })?
+    by_deadline(Instant::now() + RESPONSE_TIMEOUT, response)
+        .await
+        .context(TimeoutSnafu { step, peer })?
 }
--- a/crates/gateway/src/leader/keeper.rs
+++ b/crates/gateway/src/leader/stage_controller.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
-use super::claim::LEASE_TIME;
-use super::claim::LeaderRow;
-use super::claim::may_claim;
-use super::order::give_order;
+use super::leader_row::LEASE_DURATION;
+use super::leader_row::LeaderRow;
+use super::leader_row::is_claimable;
+use super::order::send_order;
 use crate::cluster::StageChange;
 use crate::cluster::StageMonitor;
 use crate::cluster::StageSnapshot;
@@ -24,84 +24,84 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
-use crate::store::FollowError;
 use crate::store::StoreClient;
+use crate::store::StoreError;
 use crate::store::log_unreadable;
 use crate::timing::waking_clock;
 use crate::upstream::SendTarget;
 
 /// Between two looks at the pools.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a gateway must have read the store to act for all.
-const CALM_TIME: Duration = Duration::from_secs(2);
+const MIN_STABLE_DURATION: Duration = Duration::from_secs(2);
 /// Orders go out within this of the claim's sending, by a clock that also
 /// counts the time in which the instance was suspended.
-const ORDER_TIME: Duration = Duration::from_secs(2);
+const ORDER_WINDOW: Duration = Duration::from_secs(2);
 /// The row of the duty.
 const STAGES_KEY: &str = "stages";
 
 /// Keeps the pools in shape, for good.
 pub async fn run_stage_controller<C: PlatformCodec>(state: Arc<GatewayState>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
-    let mut watches: HashMap<ServiceName, StageMonitor> = HashMap::new();
+    let mut monitors: HashMap<ServiceName, StageMonitor> = HashMap::new();
     loop {
-        smol::Timer::after(LOOK_EVERY).await;
+        smol::Timer::after(POLL_INTERVAL).await;
         let Some(table) = state.table() else { continue };
         for (service, spec) in &table.services {
             let Some(spec) = &spec.engine else { continue };
-            let watch = watches.entry(service.clone()).or_default();
+            let monitor = monitors.entry(service.clone()).or_default();
             let now = Instant::now();
-            let look = look(&state, service, spec, now);
-            let Some(change) = watch.update(look, now) else { continue };
-            if !is_ours(&state, now) {
+            let snapshot = service_snapshot(&state, service, spec, now);
+            let Some(change) = monitor.update(snapshot, now) else { continue };
+            if !is_leader_candidate(&state, now) {
                 continue;
             }
-            watch.start_cooldown(now);
-            act::<C>(&state, &mut client, service, look, change).await;
+            monitor.start_cooldown(now);
+            change_stages::<C>(&state, &mut client, service, snapshot, change).await;
         }
     }
 }
 
-fn look(
+fn service_snapshot(
     state: &GatewayState,
     service: &ServiceName,
     spec: &EngineSpec,
     now: Instant,
 ) -> StageSnapshot {
-    let own = state.service_queues.with_line(service, |line| line.len());
-    let waiting = own + state.other_lines(service).waiting as usize;
-    let look = stage_snapshot(&state.fleet(), service, waiting, now);
+    let local_queued = state.service_queues.with_line(service, |line| line.len());
+    let queued = local_queued + state.other_lines(service).waiting as usize;
+    let snapshot = stage_snapshot(&state.fleet(), service, queued, now);
     let target_prefill =
-        state.learned(service).balance.target_prefill_servers(look.engines(), spec);
-    StageSnapshot { target_prefill, ..look }
+        state.learned(service).balance.target_prefill_servers(snapshot.engines(), spec);
+    StageSnapshot { target_prefill, ..snapshot }
 }
 
-fn is_ours(state: &GatewayState, now: Instant) -> bool {
+fn is_leader_candidate(state: &GatewayState, now: Instant) -> bool {
     let fleet = state.fleet();
-    fleet.store_stable_duration(now) >= CALM_TIME
-        && fleet.peers.is_leader_candidate(state.digest, CALM_TIME, now)
+    fleet.store_stable_duration(now) >= MIN_STABLE_DURATION
+        && fleet.peers.is_leader_candidate(state.digest, MIN_STABLE_DURATION, now)
 }
 
-async fn act<C: PlatformCodec>(
+async fn change_stages<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     client: &mut StoreClient<C>,
     service: &ServiceName,
-    look: StageSnapshot,
+    snapshot: StageSnapshot,
     change: StageChange,
 ) {
-    let begun = waking_clock();
-    let fence = match claim(state, client).await {
+    let started_at = waking_clock();
+    let fence = match claim_leadership(state, client).await {
         Ok(Some(fence)) => fence,
         Ok(None) => {
-            log_claim(service, look, change, "held by another");
+            log_claim(service, snapshot, change, "held by another");
             return;
         }
         Err(error) => {
-            log_claim(service, look, change, &error.to_string());
+            log_claim(service, snapshot, change, &error.to_string());
             return;
         }
     };
-    log_claim(service, look, change, "claimed");
+    log_claim(service, snapshot, change, "claimed");
     let chosen = choose_stage_change(&state.fleet(), service, change, Instant::now());
     for server in chosen {
         if state.fleet().has_limit(&server) {
@@ -110,9 +110,9 @@
         let Some(target) = send_target(state, &server) else { continue };
         // A connection of its own, so that order and report go to one process.
         let target = SendTarget { may_reuse: false, ..target };
-        let may_still = || waking_clock().saturating_sub(begun) < ORDER_TIME;
-        let given = give_order::<C>(state, &target, change.to, fence, may_still).await;
-        if given.is_ok() {
+        let is_within_window = || waking_clock().saturating_sub(started_at) < ORDER_WINDOW;
+        let result = send_order::<C>(state, &target, change.to, fence, is_within_window).await;
+        if result.is_ok() {
             state.fleet().begin_stage_change(&server, change.to, Instant::now());
             state.work_changed.notify(1);
         }
@@ -123,7 +123,7 @@
             peer = %target.address,
             stage = %change.to,
             fence,
-            outcome = given.err().map_or("accepted".to_owned(), |error| error.to_string()),
+            outcome = result.err().map_or("accepted".to_owned(), |error| error.to_string()),
             "engine told to change its stage"
         );
     }
@@ -133,17 +133,17 @@
 ///
 /// A claim whose answer is lost is not used: it only keeps others away until
 /// it ends.
-async fn claim<C: PlatformCodec>(
+async fn claim_leadership<C: PlatformCodec>(
     state: &GatewayState,
     client: &mut StoreClient<C>,
-) -> Result<Option<StoreVersion>, FollowError> {
-    let batch = client.look(StoreTable::Duties).await?;
+) -> Result<Option<StoreVersion>, StoreError> {
+    let batch = client.read_small_table(StoreTable::Duties).await?;
     let row = batch.rows.iter().find(|row| row.key == STAGES_KEY);
-    let known = row.and_then(known_claim);
-    if !may_claim(known.as_ref(), batch.store_time) {
+    let current = row.and_then(decode_claim);
+    if !is_claimable(current.as_ref(), batch.store_time) {
         return Ok(None);
     }
-    let until = batch.store_time + LEASE_TIME;
+    let until = batch.store_time + LEASE_DURATION;
     let claimed = LeaderRow { holder: state.settings.instance.clone(), until };
     let value = postcard::to_allocvec(&claimed).expect("encoding plain fields");
     let version = row.map_or(0, |row| row.version);
@@ -152,7 +152,7 @@
 
 /// The claim that `row` holds. One that can't be read counts as none: nobody
 /// could ever renew it or wait for its end.
-fn known_claim(row: &StoreRow) -> Option<LeaderRow> {
+fn decode_claim(row: &StoreRow) -> Option<LeaderRow> {
     let RowValue::Held(value) = &row.value else { return None };
     match postcard::from_bytes(value) {
         Ok(claim) => Some(claim),
@@ -163,17 +163,17 @@
     }
 }
 
-fn log_claim(service: &ServiceName, look: StageSnapshot, change: StageChange, outcome: &str) {
+fn log_claim(service: &ServiceName, snapshot: StageSnapshot, change: StageChange, outcome: &str) {
     tracing::info!(
-        event = events::DUTY_CLAIMED,
+        event = events::LEADERSHIP_CLAIMED,
         %service,
         stage = %change.to,
         count = change.count,
-        prefill = look.prefill,
-        prefill_busy = look.prefill_busy,
-        decode = look.decode,
-        waiting = look.queued,
-        wanted = look.target_prefill,
+        prefill = snapshot.prefill,
+        prefill_busy = snapshot.prefill_busy,
+        decode = snapshot.decode,
+        waiting = snapshot.queued,
+        wanted = snapshot.target_prefill,
         outcome,
         "engines should change their stage"
     );
--- a/crates/gateway/src/peers/config_transfer.rs
+++ b/crates/gateway/src/peers/config_transfer.rs
@@ -72,7 +72,7 @@
             };
             let own = state.config_version();
             tracing::info!(
-                event = events::CONFIG_COPIED,
+                event = events::CONFIG_TRANSFERRED,
                 %peer,
                 heard,
                 own,
--- a/crates/gateway/src/peers/report.rs
+++ b/crates/gateway/src/peers/report.rs
@@ -17,7 +17,7 @@
 use crate::model::ServerIncarnation;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
-use crate::store::TableNotice;
+use crate::store::TableReadNotice;
 
 /// A gateway's load at each server that has any, and the other updates for its peers.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
     /// Version of the configuration in force at this gateway; 0 if it has none.
     pub config: ConfigVersion,
     /// Tables of the store that this gateway reads for its peers.
-    pub tables: Vec<TableNotice>,
+    pub tables: Vec<TableReadNotice>,
     /// Units charged to organisations' quotas since this incarnation started, by digest of the
     /// organisation's name.
     pub charges: Vec<(OrganisationDigest, ChargeUpdate)>,
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -173,7 +173,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, peer)) => match postcard::from_bytes(&buffer[..length]) {
-                Ok(PeerMessage::Rows(rows)) => state.readings.hear_rows(rows),
+                Ok(PeerMessage::Rows(rows)) => state.readings.apply_peer_rows(rows),
                 Ok(PeerMessage::Load(report)) => {
                     add_peer(&state, &registry, &report.peer, peer);
                     apply_report(&state, *report, peer);
@@ -259,7 +259,7 @@
             let age = Duration::from_millis(notice.age_ms);
             state.note_config_fresh(now.checked_sub(age).unwrap_or(now));
         }
-        state.readings.hear_notice(&report.peer, notice, now);
+        state.readings.apply_peer_notice(&report.peer, notice, now);
     }
     for update in report.limits {
         state.hear_limit(update);
--- a/crates/gateway/src/peers/row_sender.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -17,7 +17,7 @@
 /// process stops.
 pub async fn send_rows(state: Arc<GatewayState>, registry: Arc<PeerRegistry>, socket: UdpSocket) {
     loop {
-        let rows_read = state.readings.next_rows().await;
+        let rows_read = state.readings.next_outgoing_rows().await;
         let peers = registry.addresses_except(&state.settings.instance);
         for datagram in datagrams(rows_read) {
             for address in &peers {
--- a/crates/gateway/src/quarantine/probe_claim.rs
+++ b/crates/gateway/src/quarantine/probe_claim.rs
@@ -9,8 +9,8 @@
 use crate::model::RequestFingerprint;
 use crate::model::StoreTable;
 use crate::state::GatewayState;
-use crate::store::FollowError;
 use crate::store::StoreClient;
+use crate::store::StoreError;
 
 /// Returns true if this gateway may send one request of `fingerprint`, which is quarantined
 /// as `status` says.
@@ -28,7 +28,7 @@
     state: &GatewayState,
     fingerprint: RequestFingerprint,
     status: QuarantineStatus,
-) -> Result<bool, FollowError> {
+) -> Result<bool, StoreError> {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let probes = status.probes + 1;
     let row = QuarantineRow { probes, claimed_by: state.quarantines.claimant };
--- a/crates/gateway/src/quarantine/quarantines.rs
+++ b/crates/gateway/src/quarantine/quarantines.rs
@@ -220,7 +220,7 @@
     ) {
         let status = self.status(fingerprint);
         tracing::warn!(
-            event = events::CONTENT_CHANGED,
+            event = events::QUARANTINE_CHANGED,
             content = fingerprint_key(fingerprint),
             outcome = %change,
             known_by,
--- a/crates/gateway/src/quarantine/row_writer.rs
+++ b/crates/gateway/src/quarantine/row_writer.rs
@@ -12,8 +12,8 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
-use crate::store::FollowError;
 use crate::store::StoreClient;
+use crate::store::StoreError;
 
 /// Delay from the quarantine of a fingerprint until its row is written: peers may have seen
 /// a request of it complete, and report that within a few reports.
@@ -47,7 +47,7 @@
     state: &GatewayState,
     client: &mut StoreClient<C>,
     change: RowChange,
-) -> Result<(), FollowError> {
+) -> Result<(), StoreError> {
     let is_applied = match change {
         RowChange::Write(fingerprint) => write_row(state, client, fingerprint).await?,
         RowChange::Remove(fingerprint, version) => remove_row(client, fingerprint, version).await?,
@@ -61,7 +61,7 @@
     state: &GatewayState,
     client: &mut StoreClient<C>,
     fingerprint: RequestFingerprint,
-) -> Result<bool, FollowError> {
+) -> Result<bool, StoreError> {
     let status = state.quarantines.status(fingerprint).filter(|status| status.version == 0);
     let Some(status) = status else { return Ok(false) };
     let row = QuarantineRow { probes: status.probes, claimed_by: 0 };
@@ -77,7 +77,7 @@
     client: &mut StoreClient<C>,
     fingerprint: RequestFingerprint,
     version: StoreVersion,
-) -> Result<bool, FollowError> {
+) -> Result<bool, StoreError> {
     client.remove(StoreTable::Quarantines, &fingerprint_key(fingerprint), version).await
 }
 
@@ -87,7 +87,7 @@
         RowChange::Remove(fingerprint, version) => (fingerprint, "remove", version),
     };
     tracing::info!(
-        event = events::CONTENT_ROW,
+        event = events::QUARANTINE_ROW_CHANGED,
         content = fingerprint_key(fingerprint),
         step,
         row_version = version,
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -91,7 +91,7 @@
         };
         metrics::counter!("umberglade_quota_refusals_total", "organisation" => label).increment(1);
         tracing::info!(
-            event = events::QUOTA_SPENT,
+            event = events::QUOTA_EXHAUSTED,
             request_id,
             organisation = %organisation.name,
             cost,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -32,8 +32,8 @@
 use crate::store::QuarantineSink;
 use crate::store::ServerSink;
 use crate::store::StoreClient;
+use crate::store::TableCoordinator;
 use crate::store::TableFollower;
-use crate::store::TableSharing;
 
 /// The part of the configuration's bound that its feed waits at the store:
 /// with the call's margin and a new connection, a connection that has gone
@@ -127,7 +127,11 @@
 pub async fn stop(state: &Arc<GatewayState>) {
     let begun = Instant::now();
     state.stop.begin(begun);
-    tracing::info!(event = events::STOP_BEGUN, in_flight = state.flights.requests(), "stop begun");
+    tracing::info!(
+        event = events::SHUTDOWN_STARTED,
+        in_flight = state.flights.requests(),
+        "stop begun"
+    );
     let latest = begun + state.settings.stop_grace.saturating_sub(GRACE_MARGIN);
     smol::Timer::at((begun + MIN_STOP).min(latest)).await;
     loop {
@@ -166,7 +170,7 @@
         Ok(listener) => Some(listener),
         Err(error) => {
             tracing::warn!(
-                event = events::COPIES_UNBOUND,
+                event = events::CONFIG_TRANSFER_BIND_FAILED,
                 %address,
                 %error,
                 "hands out no configuration"
@@ -187,7 +191,7 @@
         }
         Err(error) => {
             settings.metrics = None;
-            tracing::warn!(event = events::METRICS_UNBOUND, %error, "no address for metrics");
+            tracing::warn!(event = events::METRICS_BIND_FAILED, %error, "no address for metrics");
             None
         }
     }
@@ -199,25 +203,25 @@
         client: StoreClient::<C>::new(store),
         table: StoreTable::Configuration,
         sink: ConfigSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_PART),
-        pace: CONFIG_PACE,
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Configuration)),
+        feed_wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_PART),
+        min_interval: CONFIG_PACE,
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Configuration)),
     };
     let servers = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Servers,
         sink: ServerSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_PART),
-        pace: state.settings.drain_bound.mul_f64(SERVER_PACE_PART),
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Servers)),
+        feed_wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_PART),
+        min_interval: state.settings.drain_bound.mul_f64(SERVER_PACE_PART),
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Servers)),
     };
     let quarantines = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Quarantines,
         sink: QuarantineSink::new(Arc::clone(state)),
-        wait: QUARANTINE_WAIT,
-        pace: QUARANTINE_PACE,
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Quarantines)),
+        feed_wait: QUARANTINE_WAIT,
+        min_interval: QUARANTINE_PACE,
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Quarantines)),
     };
     pool::spawn(config.run());
     pool::spawn(servers.run());
@@ -236,7 +240,7 @@
         match client.put(StoreTable::Members, &state.settings.instance, &row).await {
             Ok(()) => break,
             Err(error) => {
-                tracing::info!(event = events::STORE_LOST, table = "members", %error, "not registered yet");
+                tracing::info!(event = events::STORE_UNAVAILABLE, table = "members", %error, "not registered yet");
                 smol::Timer::after(REGISTER_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
             }
         }
@@ -245,9 +249,9 @@
         client,
         table: StoreTable::Members,
         sink: MemberSink::new(state, book),
-        wait: Duration::ZERO,
-        pace: MEMBER_PACE,
-        sharing: None,
+        feed_wait: Duration::ZERO,
+        min_interval: MEMBER_PACE,
+        coordinator: None,
     };
     members.run().await;
 }
@@ -256,7 +260,7 @@
 fn log_peers(state: &GatewayState, before: usize, now: Instant) -> usize {
     let heard = state.fleet().peers.live_peers(now);
     if heard != before {
-        let event = if heard > before { events::PEER_REGAINED } else { events::PEER_LOST };
+        let event = if heard > before { events::PEER_AVAILABLE } else { events::PEER_UNAVAILABLE };
         let members = state.members();
         tracing::info!(event, peers = heard, before, members, "gateways heard");
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -37,7 +37,7 @@
 use crate::stop::GRACE_MARGIN;
 use crate::stop::LAST_CALL;
 use crate::stop::StopSwitch;
-use crate::store::SharedReadings;
+use crate::store::SharedTables;
 use crate::upstream::ConnectionPool;
 use crate::upstream::SendTarget;
 
@@ -66,7 +66,7 @@
     /// Notified when a server may have room again, or more has become known.
     pub room: Event,
     /// Tables of the store that gateways read for each other.
-    pub readings: SharedReadings,
+    pub readings: SharedTables,
     /// Requests that are held back since servers crash under them.
     pub quarantines: Quarantines,
     /// What organisations may still have run.
@@ -102,7 +102,7 @@
         let digest = server_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
-            readings: SharedReadings::new(digest, &settings),
+            readings: SharedTables::new(digest, &settings),
             settings,
             metrics,
             pool: ConnectionPool::default(),
@@ -176,7 +176,7 @@
         if is_ejected && !was_aside {
             metrics::counter!("umberglade_server_aside_total").increment(1);
             tracing::warn!(
-                event = events::SERVER_ASIDE,
+                event = events::SERVER_EJECTED,
                 server,
                 outcome = %outcome,
                 failure_share,
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -31,7 +31,7 @@
         ConfigSink { state, codec: PhantomData }
     }
 
-    fn take(&self, row: StoreRow) {
+    fn apply_row(&self, row: StoreRow) {
         let value = match &row.value {
             RowValue::Held(value) => value,
             RowValue::Removed => return,
@@ -54,13 +54,13 @@
 }
 
 impl<C: PlatformCodec> TableSink for ConfigSink<C> {
-    fn listed(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
-        self.changed(rows);
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
         for row in rows {
-            self.take(row);
+            self.apply_row(row);
         }
     }
 
@@ -68,11 +68,11 @@
         raw_digest(row)
     }
 
-    fn read(&mut self) {
+    fn record_read(&mut self) {
         self.state.note_config_fresh(Instant::now());
     }
 
-    fn due(&self) -> Option<EventListener> {
+    fn read_trigger(&self) -> Option<EventListener> {
         Some(self.state.config_due.listen())
     }
 }
--- a/crates/gateway/src/store/member_sink.rs
+++ b/crates/gateway/src/store/member_sink.rs
@@ -28,22 +28,22 @@
 #[derive(Debug)]
 pub struct MemberSink {
     state: Arc<GatewayState>,
-    book: Arc<PeerRegistry>,
+    registry: Arc<PeerRegistry>,
 }
 
 impl MemberSink {
     /// A sink for `state` and the address book its reports go by.
-    pub fn new(state: Arc<GatewayState>, book: Arc<PeerRegistry>) -> Self {
-        MemberSink { state, book }
+    pub fn new(state: Arc<GatewayState>, registry: Arc<PeerRegistry>) -> Self {
+        MemberSink { state, registry }
     }
 
-    fn take(&self, row: &StoreRow) {
+    fn apply_row(&self, row: &StoreRow) {
         match &row.value {
-            RowValue::Removed => self.book.remove(&row.key),
+            RowValue::Removed => self.registry.remove(&row.key),
             RowValue::Unreadable(problem) => self.ignore(row, problem),
             RowValue::Held(value) => match postcard::from_bytes::<MemberRow>(value) {
                 Ok(member) => {
-                    self.book.insert(&row.key, member.address);
+                    self.registry.insert(&row.key, member.address);
                 }
                 Err(error) => self.ignore(row, &error.to_string()),
             },
@@ -53,21 +53,21 @@
     /// A row that can't be read names no gateway to report to.
     fn ignore(&self, row: &StoreRow, problem: &str) {
         log_unreadable(StoreTable::Members, row, problem);
-        self.book.remove(&row.key);
+        self.registry.remove(&row.key);
     }
 }
 
 impl TableSink for MemberSink {
-    fn listed(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
-        self.book.clear();
-        self.changed(rows);
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
+        self.registry.clear();
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
         for row in &rows {
-            self.take(row);
+            self.apply_row(row);
         }
-        self.state.set_members(self.book.len());
+        self.state.set_members(self.registry.len());
     }
 
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in which contents are held back.
+//! Takes in which contents are quarantine_row back.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use crate::quarantine::fingerprint_from_key;
 use crate::state::GatewayState;
 
-/// Keeps what is held back up to date with the store.
+/// Keeps what is quarantine_row back up to date with the store.
 #[derive(Debug)]
 pub struct QuarantineSink {
     state: Arc<GatewayState>,
@@ -30,17 +30,17 @@
     }
 
     /// A row that can't be read holds nothing back, and clears nothing.
-    fn take(&self, row: &StoreRow) {
-        let Some(content) = fingerprint_from_key(&row.key) else {
-            log_unreadable(StoreTable::Quarantines, row, "the key names no content");
+    fn apply_row(&self, row: &StoreRow) {
+        let Some(fingerprint) = fingerprint_from_key(&row.key) else {
+            log_unreadable(StoreTable::Quarantines, row, "the key names no fingerprint");
             return;
         };
         match &row.value {
-            RowValue::Removed => self.state.quarantines.apply_missing_row(content, row.version),
+            RowValue::Removed => self.state.quarantines.apply_missing_row(fingerprint, row.version),
             RowValue::Unreadable(problem) => log_unreadable(StoreTable::Quarantines, row, problem),
             RowValue::Held(value) => match postcard::from_bytes::<QuarantineRow>(value) {
-                Ok(held) => {
-                    if self.state.quarantines.apply_row(content, held, row.version) {
+                Ok(quarantine_row) => {
+                    if self.state.quarantines.apply_row(fingerprint, quarantine_row, row.version) {
                         self.state.room.notify(usize::MAX);
                     }
                 }
@@ -51,19 +51,19 @@
 }
 
 impl TableSink for QuarantineSink {
-    fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
-        let listed: FxHashSet<RequestFingerprint> =
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
+        let listed_fingerprints: FxHashSet<RequestFingerprint> =
             rows.iter().filter_map(|row| fingerprint_from_key(&row.key)).collect();
-        for content in self.state.quarantines.rows() {
-            if !listed.contains(&content) {
-                self.state.quarantines.apply_missing_row(content, version);
+        for fingerprint in self.state.quarantines.rows() {
+            if !listed_fingerprints.contains(&fingerprint) {
+                self.state.quarantines.apply_missing_row(fingerprint, version);
             }
         }
-        self.changed(rows);
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
-        rows.iter().for_each(|row| self.take(row));
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
+        rows.iter().for_each(|row| self.apply_row(row));
     }
 
     /// With the version: a row that was removed and written again says the same
@@ -73,7 +73,7 @@
         Some(umberglade_wire::digest_seeded(&digest.to_le_bytes(), row.version))
     }
 
-    fn read(&mut self) {
+    fn record_read(&mut self) {
         self.state.quarantines.mark_read();
         self.state.room.notify(usize::MAX);
     }
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -36,20 +36,20 @@
         ServerSink { state, codec: PhantomData }
     }
 
-    fn decode(row: &StoreRow) -> RowNews {
+    fn decode(row: &StoreRow) -> DecodedRow {
         match &row.value {
-            RowValue::Removed => RowNews::Removed,
-            RowValue::Unreadable(problem) => RowNews::Unreadable(problem.clone()),
+            RowValue::Removed => DecodedRow::Removed,
+            RowValue::Unreadable(problem) => DecodedRow::Unreadable(problem.clone()),
             RowValue::Held(value) => match C::server_entry(&row.key, value) {
-                Ok(entry) => RowNews::Entry(entry),
-                Err(error) => RowNews::Unreadable(error.to_string()),
+                Ok(entry) => DecodedRow::Entry(entry),
+                Err(error) => DecodedRow::Unreadable(error.to_string()),
             },
         }
     }
 }
 
 /// What a row of the servers' table tells.
-enum RowNews {
+enum DecodedRow {
     Entry(ServerEntry),
     Removed,
     /// Why.
@@ -57,29 +57,29 @@
 }
 
 impl<C: PlatformCodec> TableSink for ServerSink<C> {
-    fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
         let mut listing = ServerListing::default();
         for row in &rows {
             match Self::decode(row) {
-                RowNews::Entry(entry) => listing.entries.push((entry, row.version)),
-                RowNews::Unreadable(problem) => {
+                DecodedRow::Entry(entry) => listing.entries.push((entry, row.version)),
+                DecodedRow::Unreadable(problem) => {
                     log_unreadable(StoreTable::Servers, row, &problem);
                     listing.unreadable.push((row.key.as_str().into(), row.version));
                 }
-                RowNews::Removed => {}
+                DecodedRow::Removed => {}
             }
         }
         let changes = self.state.fleet().replace(listing, version, Instant::now());
         self.state.log_changes(&changes, version);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
         for row in rows {
             let now = Instant::now();
             let change = match Self::decode(&row) {
-                RowNews::Entry(entry) => self.state.fleet().upsert(entry, row.version),
-                RowNews::Removed => self.state.fleet().remove(&row.key, row.version, now),
-                RowNews::Unreadable(problem) => {
+                DecodedRow::Entry(entry) => self.state.fleet().upsert(entry, row.version),
+                DecodedRow::Removed => self.state.fleet().remove(&row.key, row.version, now),
+                DecodedRow::Unreadable(problem) => {
                     log_unreadable(StoreTable::Servers, &row, &problem);
                     self.state.fleet().record_unreadable(&row.key, row.version);
                     None
@@ -93,9 +93,9 @@
     /// have.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         match Self::decode(row) {
-            RowNews::Removed => None,
-            RowNews::Unreadable(_) => Some(UNREADABLE_DIGEST),
-            RowNews::Entry(entry) => {
+            DecodedRow::Removed => None,
+            DecodedRow::Unreadable(_) => Some(UNREADABLE_DIGEST),
+            DecodedRow::Entry(entry) => {
                 let mut hasher = FxHasher::default();
                 entry.hash(&mut hasher);
                 Some(hasher.finish())
@@ -103,14 +103,14 @@
         }
     }
 
-    fn regained(&mut self) {
+    fn store_available(&mut self) {
         self.state.fleet().record_store_available(Instant::now());
         // Guards against a change made in the outage that the configuration's
         // long wait, on a connection from before, would not show.
         self.state.config_due.notify(usize::MAX);
     }
 
-    fn read(&mut self) {
+    fn record_read(&mut self) {
         self.state.fleet().record_store_read(Instant::now());
     }
 }
--- a/crates/gateway/src/store/shared_reading.rs
+++ b/crates/gateway/src/store/shared_table.rs
@@ -15,11 +15,11 @@
 
 /// Rows told by others that wait to be taken in. More than that is no longer a
 /// change but a table: it is read from the store.
-const MAX_TOLD: usize = 512;
+const MAX_PEER_ROWS: usize = 512;
 
 /// What a report tells of a table that its sender reads for all.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct TableNotice {
+pub struct TableReadNotice {
     pub table: StoreTable,
     pub fingerprint: u64,
     /// Milliseconds since the store answered, by a clock that counts while the
@@ -30,65 +30,65 @@
 
 /// The roster of a table, and the rows that others tell of it.
 #[derive(Debug)]
-pub struct SharedReading {
+pub struct SharedTable {
     pub table: StoreTable,
-    roster: Mutex<TableReaders>,
-    told: Mutex<VecDeque<StoreRow>>,
+    readers: Mutex<TableReaders>,
+    peer_rows: Mutex<VecDeque<StoreRow>>,
     /// When the store answered last, by [`waking_clock`].
-    read_waking: Mutex<Duration>,
+    last_read: Mutex<Duration>,
     /// Notified when rows were told.
-    pub news: Event,
+    pub rows_received: Event,
 }
 
-impl SharedReading {
+impl SharedTable {
     /// The reading of `table` at the gateway with digest `own`, whose changes
     /// must be known within `bound`.
-    pub fn new(table: StoreTable, own: u64, bound: Duration) -> Self {
-        SharedReading {
+    pub fn new(table: StoreTable, local_digest: u64, bound: Duration) -> Self {
+        SharedTable {
             table,
-            roster: Mutex::new(TableReaders::new(own, bound, fastrand::f64())),
-            told: Mutex::default(),
-            read_waking: Mutex::default(),
-            news: Event::new(),
+            readers: Mutex::new(TableReaders::new(local_digest, bound, fastrand::f64())),
+            peer_rows: Mutex::default(),
+            last_read: Mutex::default(),
+            rows_received: Event::new(),
         }
     }
 
     /// Who reads; held briefly, never across an await.
-    pub fn roster(&self) -> MutexGuard<'_, TableReaders> {
-        self.roster.lock().expect("roster lock")
+    pub fn readers(&self) -> MutexGuard<'_, TableReaders> {
+        self.readers.lock().expect("roster lock")
     }
 
     /// The store has answered a read of our own.
-    pub fn note_read(&self, fingerprint: u64) {
-        *self.read_waking.lock().expect("read time lock") = waking_clock();
-        self.roster().record_read(fingerprint, Instant::now());
+    pub fn record_read(&self, fingerprint: u64) {
+        *self.last_read.lock().expect("read time lock") = waking_clock();
+        self.readers().record_read(fingerprint, Instant::now());
     }
 
     /// What a report says of this table, while this gateway reads for all.
-    pub fn notice(&self, now: Instant) -> Option<TableNotice> {
-        let own = self.roster().local_notice(now)?;
-        let read_waking = *self.read_waking.lock().expect("read time lock");
-        let age = waking_clock().saturating_sub(read_waking);
-        Some(TableNotice {
+    pub fn notice(&self, now: Instant) -> Option<TableReadNotice> {
+        let local = self.readers().local_notice(now)?;
+        let last_read = *self.last_read.lock().expect("read time lock");
+        let age = waking_clock().saturating_sub(last_read);
+        Some(TableReadNotice {
             table: self.table,
-            fingerprint: own.fingerprint,
+            fingerprint: local.fingerprint,
             age_ms: age.as_millis() as u64,
-            is_heavy: own.is_heavy,
+            is_heavy: local.is_heavy,
         })
     }
 
     /// Takes in rows that another gateway read.
-    pub fn tell(&self, rows: Vec<StoreRow>) {
-        let mut told = self.told.lock().expect("told rows lock");
-        told.extend(rows);
+    pub fn receive_rows(&self, rows: Vec<StoreRow>) {
+        let mut peer_rows = self.peer_rows.lock().expect("told rows lock");
+        peer_rows.extend(rows);
         // The fingerprint differs then, and the store is read.
-        told.truncate(MAX_TOLD);
-        drop(told);
-        self.news.notify(usize::MAX);
+        peer_rows.truncate(MAX_PEER_ROWS);
+        drop(peer_rows);
+        self.rows_received.notify(usize::MAX);
     }
 
     /// The rows told since the last call.
-    pub fn take_told(&self) -> Vec<StoreRow> {
-        self.told.lock().expect("told rows lock").drain(..).collect()
+    pub fn take_peer_rows(&self) -> Vec<StoreRow> {
+        self.peer_rows.lock().expect("told rows lock").drain(..).collect()
     }
 }
--- a/crates/gateway/src/store/shared_readings.rs
+++ b/crates/gateway/src/store/shared_tables.rs
@@ -6,8 +6,8 @@
 use async_channel::Receiver;
 use async_channel::Sender;
 
-use super::SharedReading;
-use super::TableNotice;
+use super::SharedTable;
+use super::TableReadNotice;
 use crate::cluster::ReaderNotice;
 use crate::cluster::server_digest;
 use crate::model::GatewaySettings;
@@ -17,72 +17,72 @@
 
 /// Within this requests held back are known to gateways that nobody tells. Those
 /// that hear each other know by what they tell of sends that broke.
-const QUARANTINE_BOUND: Duration = Duration::from_secs(10);
+const QUARANTINE_MAX_DELAY: Duration = Duration::from_secs(10);
 /// Reads of a table whose news wait to be told.
-const ROWS_OUT: usize = 16;
+const OUTGOING_ROWS_CAPACITY: usize = 16;
 
 /// The readings of all shared tables, and the rows that the others are to be
 /// told of.
 #[derive(Debug)]
-pub struct SharedReadings {
-    tables: [SharedReading; 3],
-    rows_out: (Sender<TableRows>, Receiver<TableRows>),
+pub struct SharedTables {
+    tables: [SharedTable; 3],
+    outgoing_rows: (Sender<TableRows>, Receiver<TableRows>),
 }
 
-impl SharedReadings {
+impl SharedTables {
     /// Those of the gateway with `settings` and digest `own`.
-    pub fn new(own: u64, settings: &GatewaySettings) -> Self {
+    pub fn new(local_digest: u64, settings: &GatewaySettings) -> Self {
         let configuration = (StoreTable::Configuration, settings.config_bound);
         let servers = (StoreTable::Servers, settings.drain_bound);
-        let quarantines = (StoreTable::Quarantines, QUARANTINE_BOUND);
-        SharedReadings {
+        let quarantines = (StoreTable::Quarantines, QUARANTINE_MAX_DELAY);
+        SharedTables {
             tables: [configuration, servers, quarantines]
-                .map(|(table, bound)| SharedReading::new(table, own, bound)),
-            rows_out: async_channel::bounded(ROWS_OUT),
+                .map(|(table, bound)| SharedTable::new(table, local_digest, bound)),
+            outgoing_rows: async_channel::bounded(OUTGOING_ROWS_CAPACITY),
         }
     }
 
     /// That of `table`, which must be one of those read for each other.
-    pub fn of(&self, table: StoreTable) -> &SharedReading {
+    pub fn table(&self, table: StoreTable) -> &SharedTable {
         self.find(table).expect("a table that is read for others")
     }
 
     /// What a report tells of the tables that this gateway reads for all.
-    pub fn notices(&self, now: Instant) -> Vec<TableNotice> {
-        self.tables.iter().filter_map(|reading| reading.notice(now)).collect()
+    pub fn notices(&self, now: Instant) -> Vec<TableReadNotice> {
+        self.tables.iter().filter_map(|shared_table| shared_table.notice(now)).collect()
     }
 
     /// `peer` has read a table of the store.
-    pub fn hear_notice(&self, peer: &str, notice: TableNotice, now: Instant) {
+    pub fn apply_peer_notice(&self, peer: &str, notice: TableReadNotice, now: Instant) {
         let Some(read_at) = now.checked_sub(Duration::from_millis(notice.age_ms)) else { return };
-        let Some(reading) = self.find(notice.table) else { return };
+        let Some(shared_table) = self.find(notice.table) else { return };
         let is_heavy = notice.is_heavy;
         let notice = ReaderNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
-        reading.roster().apply_peer_notice(server_digest(peer), notice);
+        shared_table.readers().apply_peer_notice(server_digest(peer), notice);
     }
 
     /// Another gateway has read rows that say something new.
-    pub fn hear_rows(&self, told: TableRows) {
-        if let Some(reading) = self.find(told.table) {
-            reading.tell(told.rows);
+    pub fn apply_peer_rows(&self, received: TableRows) {
+        if let Some(shared_table) = self.find(received.table) {
+            shared_table.receive_rows(received.rows);
         }
     }
 
     /// Tells the other gateways of `rows`, once the network takes them. Where
     /// more are waiting than may, they are dropped: the others see by the
     /// fingerprint that they lack them, and read the store.
-    pub fn tell(&self, table: StoreTable, rows: Vec<StoreRow>) {
-        if self.rows_out.0.try_send(TableRows { table, rows }).is_err() {
+    pub fn send_rows(&self, table: StoreTable, rows: Vec<StoreRow>) {
+        if self.outgoing_rows.0.try_send(TableRows { table, rows }).is_err() {
             metrics::counter!("umberglade_rows_untold_total").increment(1);
         }
     }
 
     /// The next rows that the others are to be told of.
-    pub async fn next_rows(&self) -> TableRows {
-        self.rows_out.1.recv().await.expect("a channel whose sender is kept")
+    pub async fn next_outgoing_rows(&self) -> TableRows {
+        self.outgoing_rows.1.recv().await.expect("a channel whose sender is kept")
     }
 
-    fn find(&self, table: StoreTable) -> Option<&SharedReading> {
-        self.tables.iter().find(|reading| reading.table == table)
+    fn find(&self, table: StoreTable) -> Option<&SharedTable> {
+        self.tables.iter().find(|shared_table| shared_table.table == table)
     }
 }
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -11,9 +11,9 @@
 use umberglade_wire::kept::KeptClient;
 use umberglade_wire::kept::KeptReply;
 
-use super::FollowError;
-use super::follow_error::DecodeSnafu;
-use super::follow_error::ExchangeSnafu;
+use super::StoreError;
+use super::store_error::DecodeSnafu;
+use super::store_error::ExchangeSnafu;
 use crate::codec::PlatformCodec;
 use crate::model::RowBatch;
 use crate::model::StoreRow;
@@ -25,19 +25,19 @@
 /// is still waited for, one that answers nothing is asked again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Beyond the wait asked for, how long a feed's answer may take.
-const FEED_MARGIN: Duration = Duration::from_millis(600);
+const FEED_EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// Speaks to the store, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient<C> {
-    kept: KeptClient,
+    connection: KeptClient,
     codec: PhantomData<C>,
 }
 
 impl<C: PlatformCodec> StoreClient<C> {
     /// A client of the store at `address`, not connected yet.
     pub fn new(address: SocketAddr) -> Self {
-        StoreClient { kept: KeptClient::new(address.to_string()), codec: PhantomData }
+        StoreClient { connection: KeptClient::new(address.to_string()), codec: PhantomData }
     }
 
     /// All rows of `table`, and the version they are as of: that of the
@@ -45,7 +45,7 @@
     pub async fn list(
         &mut self,
         table: StoreTable,
-    ) -> Result<(Vec<StoreRow>, StoreVersion), FollowError> {
+    ) -> Result<(Vec<StoreRow>, StoreVersion), StoreError> {
         let mut rows: Vec<StoreRow> = Vec::new();
         let mut version = None;
         loop {
@@ -67,9 +67,9 @@
         table: StoreTable,
         version: StoreVersion,
         wait: Duration,
-    ) -> Result<RowBatch, FollowError> {
+    ) -> Result<RowBatch, StoreError> {
         let path = C::feed_path(table, version, wait.as_millis() as u64);
-        self.read("store feed", &path, wait + FEED_MARGIN).await
+        self.read("store feed", &path, wait + FEED_EXTRA_TIMEOUT).await
     }
 
     /// Writes one row of our own.
@@ -78,11 +78,11 @@
         table: StoreTable,
         key: &str,
         value: &[u8],
-    ) -> Result<(), FollowError> {
-        let (path, body) = C::put_call(table, key, value);
+    ) -> Result<(), StoreError> {
+        let (path, body) = C::put_request(table, key, value);
         metrics::counter!("umberglade_store_calls_total", "call" => "put").increment(1);
         let reply = self
-            .kept
+            .connection
             .call("store write", Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
@@ -96,10 +96,10 @@
         table: StoreTable,
         key: &str,
         value: &[u8],
-        known: StoreVersion,
-    ) -> Result<Option<StoreVersion>, FollowError> {
-        let call = C::claim_call(table, key, value, known);
-        self.write_if("claim", "store claim", call).await
+        expected_version: StoreVersion,
+    ) -> Result<Option<StoreVersion>, StoreError> {
+        let call = C::claim_request(table, key, value, expected_version);
+        self.write_conditionally("claim", "store claim", call).await
     }
 
     /// Removes one row of our own if it still has version `known`; false when
@@ -108,24 +108,24 @@
         &mut self,
         table: StoreTable,
         key: &str,
-        known: StoreVersion,
-    ) -> Result<bool, FollowError> {
-        let call = C::remove_call(table, key, known);
-        let written = self.write_if("remove", "store removal", call).await?;
+        expected_version: StoreVersion,
+    ) -> Result<bool, StoreError> {
+        let call = C::remove_request(table, key, expected_version);
+        let written = self.write_conditionally("remove", "store removal", call).await?;
         Ok(written.is_some())
     }
 
     /// Makes a write under a condition; the version by then, or `None` when the
     /// condition does not hold.
-    async fn write_if(
+    async fn write_conditionally(
         &mut self,
         kind: &'static str,
         step: &'static str,
         (path, body): (String, Bytes),
-    ) -> Result<Option<StoreVersion>, FollowError> {
+    ) -> Result<Option<StoreVersion>, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => kind).increment(1);
         let reply = self
-            .kept
+            .connection
             .call(step, Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
@@ -137,7 +137,7 @@
     }
 
     /// The rows of `table` as of one moment; for tables of a few rows.
-    pub async fn look(&mut self, table: StoreTable) -> Result<RowBatch, FollowError> {
+    pub async fn read_small_table(&mut self, table: StoreTable) -> Result<RowBatch, StoreError> {
         self.read("store look", &C::list_path(table, None), CALL_TIMEOUT).await
     }
 
@@ -146,17 +146,17 @@
         step: &'static str,
         path: &str,
         timeout: Duration,
-    ) -> Result<RowBatch, FollowError> {
+    ) -> Result<RowBatch, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => step).increment(1);
-        let reply = self.kept.get(step, path, timeout).await.context(ExchangeSnafu)?;
+        let reply = self.connection.get(step, path, timeout).await.context(ExchangeSnafu)?;
         check_status(&reply)?;
         C::row_batch(&reply.body).context(DecodeSnafu)
     }
 }
 
-fn check_status(reply: &KeptReply) -> Result<(), FollowError> {
+fn check_status(reply: &KeptReply) -> Result<(), StoreError> {
     if reply.status.is_success() {
         return Ok(());
     }
-    Err(FollowError::Status { status: reply.status })
+    Err(StoreError::Status { status: reply.status })
 }
--- a/crates/gateway/src/store/follow_error.rs
+++ b/crates/gateway/src/store/store_error.rs
@@ -9,7 +9,7 @@
 /// A failed call to the store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum FollowError {
+pub enum StoreError {
     /// The exchange failed; the error names step and peer.
     #[snafu(display("{source}"))]
     Exchange { source: WireError },
@@ -21,9 +21,9 @@
     Decode { source: CodecError },
 }
 
-impl FollowError {
+impl StoreError {
     /// True when the store no longer has the changes asked for.
-    pub fn is_history_gone(&self) -> bool {
-        matches!(self, FollowError::Status { status } if *status == StatusCode::GONE)
+    pub fn is_history_expired(&self) -> bool {
+        matches!(self, StoreError::Status { status } if *status == StatusCode::GONE)
     }
 }
--- a/crates/gateway/src/store/table_sharing.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -6,9 +6,9 @@
 
 use event_listener::EventListener;
 
-use super::SharedReading;
+use super::SharedTable;
 use super::TableSink;
-use super::table_follower::bytes_of;
+use super::table_follower::estimated_bytes;
 use crate::cluster::ReadRole;
 use crate::cluster::ReaderRank;
 use crate::cluster::TableReaders;
@@ -21,65 +21,65 @@
 use crate::state::GatewayState;
 
 /// Reading that takes more than this part of a link is left to others.
-const HEAVY_PART: f64 = 0.1;
+const HEAVY_LINK_FRACTION: f64 = 0.1;
 /// For so long after its first read a gateway tells nobody of rows.
 ///
 /// Guards against gateways that start together, each of which takes itself for one
 /// of the few readers until it hears the others: each told all others of each server
 /// that registered, and links were full for seconds.
-const SETTLE_TIME: Duration = Duration::from_secs(2);
+const SEND_DELAY: Duration = Duration::from_secs(2);
 /// Telling others of one read may take a link for so long.
-const TELL_SECONDS: f64 = 0.2;
+const MAX_SEND_SECONDS: f64 = 0.2;
 /// Reads that follow sooner are not told from a series.
-const MIN_PACE: Duration = Duration::from_millis(500);
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The content that a follower holds, and what it and the others tell of it.
 #[derive(Debug)]
-pub struct TableSharing {
+pub struct TableCoordinator {
     state: Arc<GatewayState>,
     table: StoreTable,
-    content: TableRowSet,
+    row_set: TableRowSet,
     /// When this gateway first read the table.
-    read_since: Option<Instant>,
+    first_read_at: Option<Instant>,
     /// True while others tell this gateway what the table holds.
-    is_told: bool,
+    is_listener: bool,
 }
 
-impl TableSharing {
+impl TableCoordinator {
     /// The part of the gateway with `state` in reading `table`.
     pub fn new(state: Arc<GatewayState>, table: StoreTable) -> Self {
-        TableSharing {
+        TableCoordinator {
             state,
             table,
-            content: TableRowSet::default(),
-            read_since: None,
-            is_told: false,
+            row_set: TableRowSet::default(),
+            first_read_at: None,
+            is_listener: false,
         }
     }
 
     /// What to do next.
-    pub fn turn(&mut self) -> ReadRole {
+    pub fn role(&mut self) -> ReadRole {
         let now = Instant::now();
         let rank = self.rank(now);
-        let turn = self.reading().roster().role(rank, now);
-        let is_told = turn != ReadRole::Reader;
-        if is_told != self.is_told {
-            self.is_told = is_told;
-            self.log_turn(rank, now);
+        let role = self.shared_table().readers().role(rank, now);
+        let is_listener = role != ReadRole::Reader;
+        if is_listener != self.is_listener {
+            self.is_listener = is_listener;
+            self.log_role(rank, now);
         }
-        turn
+        role
     }
 
-    fn log_turn(&self, rank: ReaderRank, now: Instant) {
+    fn log_role(&self, rank: ReaderRank, now: Instant) {
         let (known_at, readers) = {
-            let roster = self.reading().roster();
-            (roster.known_at(), roster.peer_readers())
+            let table_readers = self.shared_table().readers();
+            (table_readers.known_at(), table_readers.peer_readers())
         };
         let age = known_at.map(|at| now.saturating_duration_since(at));
         tracing::info!(
-            event = events::STORE_TURN,
+            event = events::READ_ROLE_CHANGED,
             table = %self.table,
-            outcome = if self.is_told { "told by others" } else { "reads" },
+            outcome = if self.is_listener { "told by others" } else { "reads" },
             readers,
             gateways_heard = rank.peers,
             age_ms = age.map(|age| age.as_millis() as u64),
@@ -93,81 +93,86 @@
     }
 
     /// Resolves when others have told of rows.
-    pub fn news(&self) -> EventListener {
-        self.reading().news.listen()
+    pub fn rows_received(&self) -> EventListener {
+        self.shared_table().rows_received.listen()
     }
 
     /// The rows that others have told and that say something new here.
-    pub fn take_told(&mut self, sink: &impl TableSink) -> Vec<StoreRow> {
-        let told = self.reading().take_told();
+    pub fn take_new_peer_rows(&mut self, sink: &impl TableSink) -> Vec<StoreRow> {
+        let peer_rows = self.shared_table().take_peer_rows();
         let rows: Vec<StoreRow> =
-            told.into_iter().filter(|row| note(&mut self.content, sink, row)).collect();
+            peer_rows.into_iter().filter(|row| record_row(&mut self.row_set, sink, row)).collect();
         if !rows.is_empty() {
-            self.reading().roster().record_peer_rows(self.content.fingerprint());
+            self.shared_table().readers().record_peer_rows(self.row_set.fingerprint());
         }
         rows
     }
 
     /// The store has answered with changes; those that say something new are
     /// told to the others.
-    pub fn note_changed(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
-        let is_news = |row: &&StoreRow| note(&mut self.content, sink, row);
-        let news: Vec<StoreRow> = rows.iter().filter(is_news).cloned().collect();
-        self.note_read(news);
+    pub fn record_changes(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
+        let is_update = |row: &&StoreRow| record_row(&mut self.row_set, sink, row);
+        let updates: Vec<StoreRow> = rows.iter().filter(is_update).cloned().collect();
+        self.record_read(updates);
     }
 
     /// The store has answered with the whole table as of `version`. The others
     /// are told of rows that are gone; that they lack changed ones they see by
     /// the fingerprint, and read the store.
-    pub fn note_listed(&mut self, rows: &[StoreRow], version: StoreVersion, sink: &impl TableSink) {
+    pub fn record_listing(
+        &mut self,
+        rows: &[StoreRow],
+        version: StoreVersion,
+        sink: &impl TableSink,
+    ) {
         let listed =
             rows.iter().filter_map(|row| Some((row.key.as_str(), row.version, sink.digest(row)?)));
-        let gone = self.content.replace(listed, version);
+        let removed_keys = self.row_set.replace(listed, version);
         let removed = |key| StoreRow { key, version, value: RowValue::Removed };
-        self.note_read(gone.into_iter().map(removed).collect());
+        self.record_read(removed_keys.into_iter().map(removed).collect());
     }
 
     /// A read of `bytes` takes this gateway's link each `pace`.
-    pub fn note_size(&self, bytes: usize, pace: Duration) {
+    pub fn record_size(&self, bytes: usize, pace: Duration) {
         let Some(link) = self.state.settings.link_bytes_per_s else { return };
-        let taken = bytes as f64 / pace.as_secs_f64().max(MIN_PACE.as_secs_f64());
-        self.reading().roster().set_heavy(taken > link * HEAVY_PART);
+        let bytes_per_s = bytes as f64 / pace.as_secs_f64().max(MIN_READ_INTERVAL.as_secs_f64());
+        self.shared_table().readers().set_heavy(bytes_per_s > link * HEAVY_LINK_FRACTION);
     }
 
     /// When the content held here was last the store's.
     pub fn known_at(&self) -> Option<Instant> {
-        self.reading().roster().known_at()
+        self.shared_table().readers().known_at()
     }
 
     /// A call to the store failed.
-    pub fn note_failed(&self) {
-        self.reading().roster().record_failure();
+    pub fn record_failure(&self) {
+        self.shared_table().readers().record_failure();
     }
 
-    fn note_read(&mut self, news: Vec<StoreRow>) {
+    fn record_read(&mut self, updates: Vec<StoreRow>) {
         let now = Instant::now();
-        self.reading().note_read(self.content.fingerprint());
-        let since = *self.read_since.get_or_insert(now);
-        let has_settled = now.saturating_duration_since(since) >= SETTLE_TIME;
-        let tells = has_settled && self.reading().roster().sends_rows(now);
-        if tells && !news.is_empty() && self.may_tell(&news) {
-            self.state.readings.tell(self.table, news);
+        self.shared_table().record_read(self.row_set.fingerprint());
+        let since = *self.first_read_at.get_or_insert(now);
+        let may_send_yet = now.saturating_duration_since(since) >= SEND_DELAY;
+        let sends_rows = may_send_yet && self.shared_table().readers().sends_rows(now);
+        if sends_rows && !updates.is_empty() && self.may_send_rows(&updates) {
+            self.state.readings.send_rows(self.table, updates);
         }
     }
 
     /// True where telling all others of `rows` takes little of this gateway's link:
     /// of more they read for themselves.
-    fn may_tell(&self, rows: &[StoreRow]) -> bool {
+    fn may_send_rows(&self, rows: &[StoreRow]) -> bool {
         if self.table.holds_keys() {
             return false;
         }
         let Some(link) = self.state.settings.link_bytes_per_s else { return true };
-        let told = (bytes_of(rows) * self.state.members()) as f64;
-        told <= link * TELL_SECONDS
+        let sent_bytes = (estimated_bytes(rows) * self.state.members()) as f64;
+        sent_bytes <= link * MAX_SEND_SECONDS
     }
 
-    fn reading(&self) -> &SharedReading {
-        self.state.readings.of(self.table)
+    fn shared_table(&self) -> &SharedTable {
+        self.state.readings.table(self.table)
     }
 
     fn rank(&self, now: Instant) -> ReaderRank {
@@ -175,6 +180,6 @@
     }
 }
 
-fn note(content: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
-    content.record(&row.key, row.version, sink.digest(row))
+fn record_row(row_set: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
+    row_set.record(&row.key, row.version, sink.digest(row))
 }
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -6,9 +6,9 @@
 use event_listener::EventListener;
 use futures_lite::FutureExt;
 
-use super::FollowError;
 use super::StoreClient;
-use super::TableSharing;
+use super::StoreError;
+use super::TableCoordinator;
 use crate::cluster::ReadRole;
 use crate::cluster::RowDigest;
 use crate::codec::PlatformCodec;
@@ -21,33 +21,33 @@
 use crate::timing::by_deadline;
 
 /// The pause after a first failed call, doubled with each in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest pause: short against the time in which a configuration must
 /// be in force once the store is back.
-const MAX_PAUSE: Duration = Duration::from_millis(700);
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(700);
 
 /// Outages shorter than this let no entry lapse: servers renew theirs about
 /// each second, and three renewals must be missed.
 const MIN_OUTAGE: Duration = Duration::from_millis(1000);
 
 /// What frames a row in the store's answers, in bytes.
-const ROW_FRAME: usize = 40;
+const ROW_OVERHEAD: usize = 40;
 
 /// What takes in a table's rows.
 pub trait TableSink: Send + 'static {
     /// The whole table as of `version`.
-    fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion);
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion);
     /// Changes, in order.
-    fn changed(&mut self, rows: Vec<StoreRow>);
+    fn apply_changes(&mut self, rows: Vec<StoreRow>);
     /// A digest of what a row says, the same while it says nothing new; `None`
     /// when the row is gone.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest>;
     /// The store answers again after it did not.
-    fn regained(&mut self) {}
+    fn store_available(&mut self) {}
     /// A call was answered, with or without changes.
-    fn read(&mut self) {}
+    fn record_read(&mut self) {}
     /// Resolves when the feed should be read at once, on a new connection.
-    fn due(&self) -> Option<EventListener> {
+    fn read_trigger(&self) -> Option<EventListener> {
         None
     }
 }
@@ -62,12 +62,12 @@
     /// How long a feed call waits at the store. Guards against a connection
     /// that has gone silent: it is found out within this time and a little,
     /// while a new one works.
-    pub wait: Duration,
+    pub feed_wait: Duration,
     /// The least time between calls: tables that change all the time are
     /// read in batches, which saves calls and costs at most this delay.
-    pub pace: Duration,
+    pub min_interval: Duration,
     /// Set for tables that gateways read for each other.
-    pub sharing: Option<TableSharing>,
+    pub coordinator: Option<TableCoordinator>,
 }
 
 impl<C: PlatformCodec, S: TableSink> TableFollower<C, S> {
@@ -76,48 +76,48 @@
         let mut position: Option<StoreVersion> = None;
         let mut failures: u32 = 0;
         let mut known_at = Instant::now();
-        let mut is_told = false;
+        let mut was_listener = false;
         loop {
-            if let Some(until) = self.told_until() {
+            if let Some(until) = self.listen_until() {
                 // What others tell meanwhile is in no feed from here on.
                 position = None;
-                is_told = true;
-                self.mark_age(self.known_at().unwrap_or(known_at));
-                if !self.be_told(until).await {
+                was_listener = true;
+                self.record_age(self.known_at().unwrap_or(known_at));
+                if !self.apply_peer_rows_until(until).await {
                     continue;
                 }
             }
-            self.take_told();
-            let begun = Instant::now();
+            self.apply_peer_rows();
+            let started_at = Instant::now();
             known_at = self.known_at().unwrap_or(known_at);
             // Others that fall silent may do so because the store did.
-            let is_outage = failures > 0 || is_told;
+            let is_outage = failures > 0 || was_listener;
             let outage = if is_outage { known_at.elapsed() } else { Duration::ZERO };
-            is_told = false;
-            match self.step(position, outage).await {
+            was_listener = false;
+            match self.read_store(position, outage).await {
                 Ok(version) => {
                     if failures > 0 {
-                        self.log_regained(failures, known_at);
+                        self.log_available(failures, known_at);
                         failures = 0;
                     }
-                    self.sink.read();
+                    self.sink.record_read();
                     position = Some(version);
                     known_at = Instant::now();
-                    self.mark_age(known_at);
-                    smol::Timer::at(begun + self.usual_pace()).await;
+                    self.record_age(known_at);
+                    smol::Timer::at(started_at + self.read_interval()).await;
                 }
-                Err(error) if error.is_history_gone() => position = None,
+                Err(error) if error.is_history_expired() => position = None,
                 Err(error) => {
                     if failures == 0 {
-                        self.log_lost(&error, position, known_at);
+                        self.log_unavailable(&error, position, known_at);
                     }
                     failures += 1;
-                    self.mark_age(known_at);
+                    self.record_age(known_at);
                     metrics::counter!("umberglade_store_failures_total").increment(1);
-                    if let Some(sharing) = &self.sharing {
-                        sharing.note_failed();
+                    if let Some(coordinator) = &self.coordinator {
+                        coordinator.record_failure();
                     }
-                    smol::Timer::after(pause(failures)).await;
+                    smol::Timer::after(retry_delay(failures)).await;
                     // After an outage the whole table is read: the feed
                     // would tell nothing of entries that lapsed unseen.
                     if failures > 1 {
@@ -130,8 +130,8 @@
 
     /// Until when what other gateways tell is enough; `None` when this one
     /// reads the store itself now.
-    fn told_until(&mut self) -> Option<Instant> {
-        match self.sharing.as_mut()?.turn() {
+    fn listen_until(&mut self) -> Option<Instant> {
+        match self.coordinator.as_mut()?.role() {
             ReadRole::Reader => None,
             ReadRole::Listener { until } => Some(until),
         }
@@ -139,65 +139,65 @@
 
     /// Takes in what other gateways tell, until `until` at most; true when the
     /// store should be read all the same.
-    async fn be_told(&mut self, until: Instant) -> bool {
-        let Some(sharing) = &mut self.sharing else { return true };
-        let news = sharing.news();
-        if self.take_told() {
+    async fn apply_peer_rows_until(&mut self, until: Instant) -> bool {
+        let Some(coordinator) = &mut self.coordinator else { return true };
+        let rows_received = coordinator.rows_received();
+        if self.apply_peer_rows() {
             return false;
         }
         let woken = async {
-            news.await;
+            rows_received.await;
             false
         };
-        let due = self.sink.due();
-        let is_due = async {
-            match due {
-                Some(due) => due.await,
+        let read_trigger = self.sink.read_trigger();
+        let is_triggered = async {
+            match read_trigger {
+                Some(read_trigger) => read_trigger.await,
                 None => std::future::pending().await,
             }
             true
         };
-        by_deadline(until, woken.or(is_due)).await.unwrap_or(false)
+        by_deadline(until, woken.or(is_triggered)).await.unwrap_or(false)
     }
 
     /// Takes in rows that others told; true when some say something new. A gateway
     /// that reads the table too does not tell of them again.
-    fn take_told(&mut self) -> bool {
-        let Some(sharing) = &mut self.sharing else { return false };
-        let rows = sharing.take_told(&self.sink);
-        let has_news = !rows.is_empty();
-        if has_news {
-            self.sink.changed(rows);
+    fn apply_peer_rows(&mut self) -> bool {
+        let Some(coordinator) = &mut self.coordinator else { return false };
+        let rows = coordinator.take_new_peer_rows(&self.sink);
+        let has_updates = !rows.is_empty();
+        if has_updates {
+            self.sink.apply_changes(rows);
         }
-        has_news
+        has_updates
     }
 
     /// One call; `outage` is how long the table's content has not been known.
-    async fn step(
+    async fn read_store(
         &mut self,
         position: Option<StoreVersion>,
         outage: Duration,
-    ) -> Result<StoreVersion, FollowError> {
+    ) -> Result<StoreVersion, StoreError> {
         match position {
             None => {
                 let (rows, version) = self.client.list(self.table).await?;
-                self.tell_regained(outage);
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.note_size(bytes_of(&rows), self.pace);
-                    sharing.note_listed(&rows, version, &self.sink);
+                self.notify_available(outage);
+                if let Some(coordinator) = &mut self.coordinator {
+                    coordinator.record_size(estimated_bytes(&rows), self.min_interval);
+                    coordinator.record_listing(&rows, version, &self.sink);
                 }
-                self.sink.listed(rows, version);
+                self.sink.apply_listing(rows, version);
                 Ok(version)
             }
             Some(version) => {
                 let batch = self.feed(version).await?;
-                self.tell_regained(outage);
-                if let Some(sharing) = &mut self.sharing {
-                    sharing.note_size(bytes_of(&batch.rows), self.pace);
-                    sharing.note_changed(&batch.rows, &self.sink);
+                self.notify_available(outage);
+                if let Some(coordinator) = &mut self.coordinator {
+                    coordinator.record_size(estimated_bytes(&batch.rows), self.min_interval);
+                    coordinator.record_changes(&batch.rows, &self.sink);
                 }
                 if !batch.rows.is_empty() {
-                    self.sink.changed(batch.rows);
+                    self.sink.apply_changes(batch.rows);
                 }
                 Ok(batch.version.max(version))
             }
@@ -206,14 +206,14 @@
 
     /// A feed call. When a read falls due meanwhile, the call is begun anew on
     /// another connection: this one may have gone silent.
-    async fn feed(&mut self, version: StoreVersion) -> Result<RowBatch, FollowError> {
-        let wait = self.shortened(self.wait);
+    async fn feed(&mut self, version: StoreVersion) -> Result<RowBatch, StoreError> {
+        let feed_wait = self.halved_if_shared(self.feed_wait);
         loop {
-            let due = self.sink.due();
-            let feed = self.client.feed(self.table, version, wait);
-            let Some(due) = due else { return feed.await };
+            let read_trigger = self.sink.read_trigger();
+            let feed = self.client.feed(self.table, version, feed_wait);
+            let Some(read_trigger) = read_trigger else { return feed.await };
             let cut = async {
-                due.await;
+                read_trigger.await;
                 None
             };
             if let Some(batch) = async { Some(feed.await) }.or(cut).await {
@@ -223,33 +223,33 @@
     }
 
     /// The least time between two calls here.
-    fn usual_pace(&self) -> Duration {
-        self.shortened(self.pace)
+    fn read_interval(&self) -> Duration {
+        self.halved_if_shared(self.min_interval)
     }
 
     /// Half of `time` where this gateway reads for others too: what they know
     /// is older by a report.
-    fn shortened(&self, time: Duration) -> Duration {
-        let is_shared = self.sharing.as_ref().is_some_and(TableSharing::is_shared);
+    fn halved_if_shared(&self, time: Duration) -> Duration {
+        let is_shared = self.coordinator.as_ref().is_some_and(TableCoordinator::is_shared);
         if is_shared { time / 2 } else { time }
     }
 
     /// When the content held here was last the store's, by our own reads or
     /// what others told.
     fn known_at(&self) -> Option<Instant> {
-        self.sharing.as_ref().and_then(TableSharing::known_at)
+        self.coordinator.as_ref().and_then(TableCoordinator::known_at)
     }
 
-    fn tell_regained(&mut self, outage: Duration) {
+    fn notify_available(&mut self, outage: Duration) {
         if outage >= MIN_OUTAGE {
-            self.sink.regained();
+            self.sink.store_available();
         }
     }
 
-    fn log_regained(&self, failures: u32, read_at: Instant) {
+    fn log_available(&self, failures: u32, read_at: Instant) {
         let outage_ms = read_at.elapsed().as_millis() as u64;
         tracing::info!(
-            event = events::STORE_REGAINED,
+            event = events::STORE_AVAILABLE,
             table = %self.table,
             failures,
             outage_ms,
@@ -257,10 +257,15 @@
         );
     }
 
-    fn log_lost(&self, error: &FollowError, position: Option<StoreVersion>, read_at: Instant) {
+    fn log_unavailable(
+        &self,
+        error: &StoreError,
+        position: Option<StoreVersion>,
+        read_at: Instant,
+    ) {
         let age_ms = read_at.elapsed().as_millis() as u64;
         tracing::warn!(
-            event = events::STORE_LOST,
+            event = events::STORE_UNAVAILABLE,
             table = %self.table,
             version = position.unwrap_or(0),
             age_ms,
@@ -269,7 +274,7 @@
         );
     }
 
-    fn mark_age(&self, read_at: Instant) {
+    fn record_age(&self, read_at: Instant) {
         let table = self.table.to_string();
         metrics::gauge!("umberglade_store_age_ms", "table" => table)
             .set(read_at.elapsed().as_millis() as f64);
@@ -277,15 +282,15 @@
 }
 
 /// About what `rows` take on the way, by their values.
-pub(super) fn bytes_of(rows: &[StoreRow]) -> usize {
+pub(super) fn estimated_bytes(rows: &[StoreRow]) -> usize {
     let value = |row: &StoreRow| match &row.value {
         RowValue::Held(value) => value.len() * 4 / 3,
         RowValue::Removed | RowValue::Unreadable(_) => 0,
     };
-    rows.iter().map(|row| value(row) + row.key.len() + ROW_FRAME).sum()
+    rows.iter().map(|row| value(row) + row.key.len() + ROW_OVERHEAD).sum()
 }
 
-fn pause(failures: u32) -> Duration {
-    let doubled = FIRST_PAUSE * 2u32.pow(failures.saturating_sub(1).min(4));
-    doubled.min(MAX_PAUSE).mul_f64(0.75 + fastrand::f64() * 0.5)
+fn retry_delay(failures: u32) -> Duration {
+    let doubled = INITIAL_RETRY_DELAY * 2u32.pow(failures.saturating_sub(1).min(4));
+    doubled.min(MAX_RETRY_DELAY).mul_f64(0.75 + fastrand::f64() * 0.5)
 }
--- a/crates/gateway/tests/stage_monitor.rs
+++ b/crates/gateway/tests/stage_monitor.rs
@@ -9,7 +9,7 @@
 use umberglade_gateway::cluster::StageSnapshot;
 use umberglade_gateway::cluster::choose_stage_change;
 use umberglade_gateway::leader::LeaderRow;
-use umberglade_gateway::leader::may_claim;
+use umberglade_gateway::leader::is_claimable;
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
@@ -200,6 +200,6 @@
         ("expired", Some(&row), 20, true),
     ];
     for (name, row, at, expected) in cases {
-        assert_eq!(may_claim(row, Duration::from_secs(at)), expected, "{name}");
+        assert_eq!(is_claimable(row, Duration::from_secs(at)), expected, "{name}");
     }
 }
--- a/crates/umberglade/src/line_limit.rs
+++ b/crates/umberglade/src/line_limit.rs
@@ -93,7 +93,7 @@
     fn make_writer(&'a self) -> Self::Writer {
         let (is_admitted, dropped, total) = self.admit();
         if dropped > 0 {
-            let event = events::LINES_DROPPED;
+            let event = events::LOG_LINES_DROPPED;
             let line = format!(
                 "{{\"level\":\"WARN\",\"event\":{event},\"dropped\":{dropped},\"total\":{total},\"message\":\"log lines dropped\"}}\n"
             );
