--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What one decision of a gateway costs, by the size of a site: choosing
-//! engines, choosing a plain server, and taking in another gateway's report.
+//! Cost of a gateway's decisions by the size of a site: placing a stream on engines, placing a
+//! plain call, and applying another gateway's report.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -21,14 +21,14 @@
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
-/// A small site, a large one, and the target size; the last as if all
-/// servers were of one model, which bounds a decision from above.
+/// Gateways and servers of a small site, a large one, and the target size. All servers have the
+/// same model, which is an upper bound for the cost of a decision at the target size.
 const SIZES: [(usize, usize); 3] = [(6, 18), (79, 140), (340, 890)];
-/// Failure domains of each size.
+/// Failure domains of each site.
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// One engine in this many reads prompts.
+/// One engine in this many is a prefill server.
 const ENGINES_PER_PREFILL_SERVER: usize = 3;
-/// Servers at which one gateway has work.
+/// Number of servers at which a gateway has work.
 const BUSY_SERVERS: usize = 4;
 
 const SHAPE: PromptShape =
@@ -64,7 +64,7 @@
     PeerUpdate { loads: loads.collect(), ..PeerUpdate::default() }
 }
 
-/// A site of which every gateway has been heard.
+/// Returns a site in which every gateway has reported.
 fn site(gateways: usize, servers: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::default();
     for at in 0..servers {
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -1,4 +1,4 @@
-//! The seam between the gateway and a platform's manner of speaking.
+//! Interface between the gateway and a platform's names, formats and calls.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -17,66 +17,62 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 
-/// Why a message of the platform could not be understood.
+/// Reason why a message of the platform could not be decoded.
 #[derive(Debug, Snafu)]
 #[snafu(display("{what}: {problem}"))]
 #[snafu(visibility(pub))]
 pub struct CodecError {
-    /// Which message, and which of its fields if known.
+    /// The message, and its field if known.
     pub what: String,
     pub problem: String,
 }
 
-/// Translates names, formats and calls of a platform; decides nothing and
-/// keeps nothing. Implemented by the `platform/` package; generic, so no
-/// `dyn` sits on the request path.
+/// Translates the names, formats and calls of a platform, without decisions or state. Implemented
+/// by the `platform/` package; a generic parameter, so that the request path needs no `dyn`.
 pub trait PlatformCodec: Send + Sync + 'static {
-    /// Where the balancer asks whether this instance takes callers.
+    /// Path at which the load balancer checks whether this instance accepts requests.
     const READY_PATH: &'static str;
-    /// The header by which a request is for one server alone.
+    /// Header that names the only server a request is meant for.
     const TARGET_SERVER_HEADER: &'static str;
 
     /// Decodes a caller's request head.
     fn call_head(headers: &HeaderMap) -> CallHead;
 
-    /// The headers with which a caller's request is sent on: the caller's
-    /// own, less those of one connection and those only we may set, plus
-    /// what `order` says.
+    /// Returns the headers with which a caller's request is sent to a server: the caller's, without
+    /// hop-by-hop headers and those that only the gateway may set, plus those that follow from
+    /// `order`.
     fn upstream_headers(headers: &HeaderMap, order: &OnwardOrder) -> HeaderMap;
 
-    /// Puts what servers are told of who calls into `headers`, whatever the
-    /// caller sent there, and takes its key out where organisations hold keys.
+    /// Sets the headers that identify the caller to servers, whatever the caller sent in them, and
+    /// removes its key if organisations hold keys.
     fn set_caller_headers(headers: &mut HeaderMap, caller: &CallerMark);
 
-    /// Decodes a backend server's answer head.
+    /// Decodes the head of a backend server's response.
     fn response_head(headers: &HeaderMap) -> ReplyHead;
 
-    /// The headers of an answer as the caller gets them: less those of one
-    /// connection.
+    /// Returns the headers of a response for the caller, without hop-by-hop headers.
     fn response_headers(headers: &HeaderMap) -> HeaderMap;
 
-    /// Decodes a prefill server's answer body.
+    /// Decodes the body of a prefill server's response.
     fn prefill_result(body: &[u8]) -> Result<PrefillResult, CodecError>;
 
-    /// The path on which a prefill server is told (`DELETE`) to let go of
-    /// `handle`.
+    /// Returns the path (`DELETE`) that makes a prefill server release `handle`.
     fn release_path(handle: &str) -> String;
 
-    /// The path (`GET`) that lists `table`, from `after` (exclusive).
+    /// Returns the path (`GET`) that lists `table` from `after` (exclusive).
     fn list_path(table: StoreTable, after: Option<&str>) -> String;
 
-    /// The path (`GET`) that waits for changes of `table` beyond `version`.
+    /// Returns the path (`GET`) that waits for changes of `table` after `version`.
     fn feed_path(table: StoreTable, version: StoreVersion, wait_ms: u64) -> String;
 
-    /// Decodes the answer to a listing or a feed.
+    /// Decodes the response to a listing or a feed call.
     fn row_batch(body: &[u8]) -> Result<RowBatch, CodecError>;
 
-    /// The path (`POST`) and body that write one row of our own, whatever
-    /// it held.
+    /// Returns the path (`POST`) and body that write one of the gateway's own rows unconditionally.
     fn put_request(table: StoreTable, key: &str, value: &[u8]) -> (String, Bytes);
 
-    /// The path (`POST`) and body that write one row if it still has version
-    /// `known`; 0 where there must be none.
+    /// Returns the path (`POST`) and body that write one row if it still has `expected_version`; 0
+    /// if the row must not exist.
     fn claim_request(
         table: StoreTable,
         key: &str,
@@ -84,29 +80,26 @@
         expected_version: StoreVersion,
     ) -> (String, Bytes);
 
-    /// The path (`POST`) and body that remove one row if it still has version
-    /// `known`.
+    /// Returns the path (`POST`) and body that remove one row if it still has `expected_version`.
     fn remove_request(
         table: StoreTable,
         key: &str,
         expected_version: StoreVersion,
     ) -> (String, Bytes);
 
-    /// Decodes the answer to a write that was done: the store's version by
-    /// then.
+    /// Decodes the response to a successful write: the store's version after it.
     fn written_version(body: &[u8]) -> Result<StoreVersion, CodecError>;
 
-    /// The path (`GET`) on which an engine tells of itself.
+    /// Path (`GET`) of an engine's report about itself.
     const REPORT_PATH: &'static str;
 
-    /// Decodes an engine's answer there.
+    /// Decodes an engine's report.
     fn engine_report(body: &[u8]) -> Result<EngineReport, CodecError>;
 
-    /// The path (`POST`) and body of an order to an engine.
+    /// Returns the path (`POST`) and body of an order to an engine.
     fn order_request(order: &StageOrder) -> (String, Bytes);
 
-    /// Decodes a row of [`StoreTable::Configuration`]; `None` when the row
-    /// holds something else.
+    /// Decodes a row of [`StoreTable::Configuration`]; `None` if the row holds something else.
     fn route_table(key: &str, value: &[u8]) -> Result<Option<RouteTable>, CodecError>;
 
     /// Decodes a row of [`StoreTable::Servers`].
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -1,7 +1,7 @@
-//! What one gateway does for all: it tells engines to change their stage.
+//! Work that one gateway, the leader, does for all: ordering engines to change their stage.
 //!
-//! Who may is settled by a row of the store, claimed for a while before each
-//! set of orders. Nothing is held while there is nothing to do.
+//! A row of the store decides which gateway is the leader. It is claimed with a lease before each
+//! set of orders; no lease is held while there is nothing to do.
 
 mod leader_row;
 mod order;
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -1,4 +1,4 @@
-//! One order to one engine.
+//! Sends a stage order to an engine.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,18 +29,18 @@
 use crate::upstream::SendError;
 use crate::upstream::SendTarget;
 
-/// How long an engine may take to answer: some hundred times its usual.
+/// Timeout of an engine's response: about a hundred times its usual response time.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(400);
 
 const FETCH_REPORT: &str = "report";
 const SEND_ORDER: &str = "order";
 
-/// Why an engine was not told, or may not have been.
+/// Reason why an order was not sent, or may not have reached the engine.
 #[derive(Debug, Snafu)]
 pub enum OrderError {
     #[snafu(display("{step} at {peer}: {source}"))]
     Send { step: &'static str, peer: SocketAddr, source: SendError },
-    #[snafu(display("{step} at {peer}: no answer within {} ms", RESPONSE_TIMEOUT.as_millis()))]
+    #[snafu(display("{step} at {peer}: no response within {} ms", RESPONSE_TIMEOUT.as_millis()))]
     Timeout { step: &'static str, peer: SocketAddr },
     #[snafu(display("{step} at {peer}: {source}"))]
     Body { step: &'static str, peer: SocketAddr, source: hyper::Error },
@@ -48,21 +48,20 @@
     Status { step: &'static str, peer: SocketAddr, status: StatusCode },
     #[snafu(display("report of {peer}: {source}"))]
     Report { peer: SocketAddr, source: CodecError },
-    #[snafu(display("{peer} has started again since it was chosen"))]
+    #[snafu(display("{peer} has restarted since it was chosen"))]
     Restarted { peer: SocketAddr },
-    #[snafu(display("{peer} is changing already"))]
+    #[snafu(display("{peer} is already changing its stage"))]
     Changing { peer: SocketAddr },
-    #[snafu(display("the claim is too old for a further order"))]
+    #[snafu(display("the leadership claim is too old to send another order"))]
     ClaimExpired,
 }
 
-/// Tells the engine at `target` to change to `stage`. `may_still` is asked
-/// last before the order goes out.
+/// Orders the engine at `target` to change to `stage`. `is_within_window` is checked last, just
+/// before the order is sent.
 ///
-/// The order goes out on the connection on which the engine has just told of
-/// itself. Guards against an order that takes effect on an engine's next
-/// start: that one has the same id and has accepted no orders, as the one
-/// before it may have; a connection ends with its process.
+/// The order is sent on the connection on which the engine has just sent its report. Prevents an
+/// order from taking effect on the engine's next incarnation: that one has the same id and has
+/// accepted no orders, as may be true of the one before it; a connection ends with its process.
 pub async fn send_order<C: PlatformCodec>(
     state: &GatewayState,
     target: &SendTarget,
@@ -99,7 +98,7 @@
     Ok(())
 }
 
-/// False when the engine has started again since `target` was looked up.
+/// Returns false if the engine has restarted since `target` was looked up.
 fn is_same_incarnation(target: &SendTarget, report: &EngineReport) -> bool {
     report.started_at.is_none()
         || server_incarnation(&target.server, report.started_at) == target.incarnation
--- a/crates/gateway/src/leader/stage_controller.rs
+++ b/crates/gateway/src/leader/stage_controller.rs
@@ -1,4 +1,4 @@
-//! Watches the pools and, where this gateway is the one to act, changes them.
+//! Polls the prefill and decode pools and, if this gateway is the one to act, changes their sizes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -30,17 +30,17 @@
 use crate::timing::waking_clock;
 use crate::upstream::SendTarget;
 
-/// Between two looks at the pools.
+/// Interval at which the pools are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a gateway must have read the store to act for all.
+/// How long a gateway must have read the store before it acts for all.
 const MIN_STABLE_DURATION: Duration = Duration::from_secs(2);
-/// Orders go out within this of the claim's sending, by a clock that also
-/// counts the time in which the instance was suspended.
+/// Time after sending the claim in which orders may be sent, by a clock that also counts the time
+/// for which the instance was suspended.
 const ORDER_WINDOW: Duration = Duration::from_secs(2);
-/// The row of the duty.
+/// Key of the leader's row.
 const STAGES_KEY: &str = "stages";
 
-/// Keeps the pools in shape, for good.
+/// Adjusts the sizes of the prefill and decode pools until the process stops.
 pub async fn run_stage_controller<C: PlatformCodec>(state: Arc<GatewayState>) {
     let mut client = StoreClient::<C>::new(state.settings.store);
     let mut monitors: HashMap<ServiceName, StageMonitor> = HashMap::new();
@@ -108,7 +108,7 @@
             continue;
         }
         let Some(target) = send_target(state, &server) else { continue };
-        // A connection of its own, so that order and report go to one process.
+        // Uses a new connection, so that the report and the order reach the same process.
         let target = SendTarget { may_reuse: false, ..target };
         let is_within_window = || waking_clock().saturating_sub(started_at) < ORDER_WINDOW;
         let result = send_order::<C>(state, &target, change.to, fence, is_within_window).await;
@@ -124,15 +124,14 @@
             stage = %change.to,
             fence,
             outcome = result.err().map_or("accepted".to_owned(), |error| error.to_string()),
-            "engine told to change its stage"
+            "stage order sent to engine"
         );
     }
 }
 
-/// Claims the duty; its fencing number, or `None` when another has it.
+/// Claims the leadership. Returns its fencing token, or `None` if another gateway holds it.
 ///
-/// A claim whose answer is lost is not used: it only keeps others away until
-/// it ends.
+/// A claim whose response is lost is not used: it only excludes other gateways until it expires.
 async fn claim_leadership<C: PlatformCodec>(
     state: &GatewayState,
     client: &mut StoreClient<C>,
@@ -150,8 +149,8 @@
     client.claim(StoreTable::Duties, STAGES_KEY, &value, version).await
 }
 
-/// The claim that `row` holds. One that can't be read counts as none: nobody
-/// could ever renew it or wait for its end.
+/// Decodes the claim in `row`. One that can't be decoded counts as none: no gateway could renew it
+/// or wait for its end.
 fn decode_claim(row: &StoreRow) -> Option<LeaderRow> {
     let RowValue::Held(value) = &row.value else { return None };
     match postcard::from_bytes(value) {
@@ -175,6 +174,6 @@
         waiting = snapshot.queued,
         wanted = snapshot.target_prefill,
         outcome,
-        "engines should change their stage"
+        "stage change needed"
     );
 }
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in the operator's configuration.
+//! Applies the operator's configuration from the store.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Puts each newer configuration in force.
+/// Puts each newer configuration in force. Rows that are not understood are logged and ignored.
 #[derive(Debug)]
 pub struct ConfigSink<C> {
     state: Arc<GatewayState>,
@@ -26,7 +26,7 @@
 }
 
 impl<C: PlatformCodec> ConfigSink<C> {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         ConfigSink { state, codec: PhantomData }
     }
@@ -47,7 +47,7 @@
                 event = events::CONFIG_IGNORED,
                 row_version = row.version,
                 %error,
-                "configuration not understood; the one in force stays"
+                "configuration not understood; keeping the one in force"
             ),
         }
     }
--- a/crates/gateway/src/store/member_sink.rs
+++ b/crates/gateway/src/store/member_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in which gateways there are.
+//! Applies the store's table of gateways.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,14 +17,14 @@
 use crate::peers::PeerRegistry;
 use crate::state::GatewayState;
 
-/// A gateway's row: where it hears its peers. Encoded by `postcard`, as the
-/// reports between gateways are.
+/// A gateway's row: the address at which it receives reports from its peers. Encoded with
+/// `postcard`, as the reports between gateways are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
     pub address: SocketAddr,
 }
 
-/// Keeps the address book of gateways up to date.
+/// Keeps the registry of peers up to date.
 #[derive(Debug)]
 pub struct MemberSink {
     state: Arc<GatewayState>,
@@ -32,7 +32,7 @@
 }
 
 impl MemberSink {
-    /// A sink for `state` and the address book its reports go by.
+    /// Creates a sink for `state` and the registry that holds the destinations of its reports.
     pub fn new(state: Arc<GatewayState>, registry: Arc<PeerRegistry>) -> Self {
         MemberSink { state, registry }
     }
@@ -50,7 +50,8 @@
         }
     }
 
-    /// A row that can't be read names no gateway to report to.
+    /// Logs a row that can't be decoded and removes its gateway: the row names no address for
+    /// reports.
     fn ignore(&self, row: &StoreRow, problem: &str) {
         log_unreadable(StoreTable::Members, row, problem);
         self.registry.remove(&row.key);
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in which contents are quarantine_row back.
+//! Applies the store's table of quarantined request fingerprints.
 
 use std::sync::Arc;
 
@@ -17,22 +17,22 @@
 use crate::quarantine::fingerprint_from_key;
 use crate::state::GatewayState;
 
-/// Keeps what is quarantine_row back up to date with the store.
+/// Keeps the quarantined fingerprints up to date with the store.
 #[derive(Debug)]
 pub struct QuarantineSink {
     state: Arc<GatewayState>,
 }
 
 impl QuarantineSink {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         QuarantineSink { state }
     }
 
-    /// A row that can't be read holds nothing back, and clears nothing.
+    /// Applies one row. A row that can't be decoded neither starts nor ends a quarantine.
     fn apply_row(&self, row: &StoreRow) {
         let Some(fingerprint) = fingerprint_from_key(&row.key) else {
-            log_unreadable(StoreTable::Quarantines, row, "the key names no fingerprint");
+            log_unreadable(StoreTable::Quarantines, row, "the key is no request fingerprint");
             return;
         };
         match &row.value {
@@ -66,8 +66,8 @@
         rows.iter().for_each(|row| self.apply_row(row));
     }
 
-    /// With the version: a row that was removed and written again says the same
-    /// as before, and a probe is claimed by its version.
+    /// Includes the version: a row that was removed and written again may hold the same value as
+    /// before, and a probe is claimed by the row's version.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         let digest = raw_digest(row)?;
         Some(umberglade_wire::digest_seeded(&digest.to_le_bytes(), row.version))
--- a/crates/gateway/src/store/raw_digest.rs
+++ b/crates/gateway/src/store/raw_digest.rs
@@ -1,10 +1,10 @@
-//! The digest of a row that is taken as it stands.
+//! Digest of a row's value without decoding it.
 
 use crate::cluster::RowDigest;
 use crate::model::RowValue;
 use crate::model::StoreRow;
 
-/// A digest of the bytes of `row`; `None` when the row is gone.
+/// Returns a digest of the value of `row`, or `None` if the row was removed.
 pub fn raw_digest(row: &StoreRow) -> Option<RowDigest> {
     match &row.value {
         RowValue::Removed => None,
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in the servers' registrations.
+//! Applies the servers' registrations from the store.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -20,7 +20,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// The digest of every row that holds no registration.
+/// Digest of every row that holds no valid registration.
 const UNREADABLE_DIGEST: RowDigest = 1;
 
 /// Keeps the fleet up to date.
@@ -31,7 +31,7 @@
 }
 
 impl<C: PlatformCodec> ServerSink<C> {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         ServerSink { state, codec: PhantomData }
     }
@@ -48,11 +48,11 @@
     }
 }
 
-/// What a row of the servers' table tells.
+/// Decoded row of the servers' table.
 enum DecodedRow {
     Entry(ServerEntry),
     Removed,
-    /// Why.
+    /// The reason why the row can't be decoded.
     Unreadable(String),
 }
 
@@ -89,8 +89,7 @@
         }
     }
 
-    /// Servers renew their rows with nothing new in them but how often they
-    /// have.
+    /// Digests the decoded entry: a server's renewals change only a counter in its row.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         match Self::decode(row) {
             DecodedRow::Removed => None,
@@ -105,8 +104,8 @@
 
     fn store_available(&mut self) {
         self.state.fleet().record_store_available(Instant::now());
-        // Guards against a change made in the outage that the configuration's
-        // long wait, on a connection from before, would not show.
+        // Prevents missing a configuration change made during the outage: the configuration's long
+        // feed call, on a connection from before the outage, would not show it.
         self.state.config_due.notify(usize::MAX);
     }
 
--- a/crates/gateway/src/store/shared_table.rs
+++ b/crates/gateway/src/store/shared_table.rs
@@ -1,4 +1,4 @@
-//! One table as the gateways read it for each other.
+//! A table of the store that a few gateways read for all.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -13,35 +13,35 @@
 use crate::model::StoreTable;
 use crate::timing::waking_clock;
 
-/// Rows told by others that wait to be taken in. More than that is no longer a
-/// change but a table: it is read from the store.
+/// Maximum number of rows from peers that wait to be applied. Further rows are dropped: so many
+/// amount to a whole table, which is read from the store.
 const MAX_PEER_ROWS: usize = 512;
 
-/// What a report tells of a table that its sender reads for all.
+/// Notice in a gateway's report about a table that it reads for its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TableReadNotice {
     pub table: StoreTable,
     pub fingerprint: u64,
-    /// Milliseconds since the store answered, by a clock that counts while the
-    /// instance is suspended: a reader that was must not pass for a fresh one.
+    /// Milliseconds since the store responded, by a clock that counts while the instance is
+    /// suspended: a reader that was suspended must not look fresh.
     pub age_ms: u64,
     pub is_heavy: bool,
 }
 
-/// The roster of a table, and the rows that others tell of it.
+/// The readers of a table, and the rows received from them.
 #[derive(Debug)]
 pub struct SharedTable {
     pub table: StoreTable,
     readers: Mutex<TableReaders>,
     peer_rows: Mutex<VecDeque<StoreRow>>,
-    /// When the store answered last, by [`waking_clock`].
+    /// When the store responded last, by [`waking_clock`].
     last_read: Mutex<Duration>,
-    /// Notified when rows were told.
+    /// Notified when rows from a peer arrive.
     pub rows_received: Event,
 }
 
 impl SharedTable {
-    /// The reading of `table` at the gateway with digest `own`, whose changes
+    /// Creates the state of `table` at the gateway with digest `local_digest`. Changes of the table
     /// must be known within `bound`.
     pub fn new(table: StoreTable, local_digest: u64, bound: Duration) -> Self {
         SharedTable {
@@ -53,18 +53,18 @@
         }
     }
 
-    /// Who reads; held briefly, never across an await.
+    /// Locks the table's readers. The lock is held briefly, never across an await.
     pub fn readers(&self) -> MutexGuard<'_, TableReaders> {
-        self.readers.lock().expect("roster lock")
+        self.readers.lock().expect("table readers lock")
     }
 
-    /// The store has answered a read of our own.
+    /// Records that the store responded to a local read.
     pub fn record_read(&self, fingerprint: u64) {
         *self.last_read.lock().expect("read time lock") = waking_clock();
         self.readers().record_read(fingerprint, Instant::now());
     }
 
-    /// What a report says of this table, while this gateway reads for all.
+    /// Returns this table's notice for the peers, while this gateway reads for them.
     pub fn notice(&self, now: Instant) -> Option<TableReadNotice> {
         let local = self.readers().local_notice(now)?;
         let last_read = *self.last_read.lock().expect("read time lock");
@@ -77,18 +77,18 @@
         })
     }
 
-    /// Takes in rows that another gateway read.
+    /// Queues rows that another gateway read.
     pub fn receive_rows(&self, rows: Vec<StoreRow>) {
-        let mut peer_rows = self.peer_rows.lock().expect("told rows lock");
+        let mut peer_rows = self.peer_rows.lock().expect("peer rows lock");
         peer_rows.extend(rows);
-        // The fingerprint differs then, and the store is read.
+        // If rows are dropped, the fingerprints differ and the store is read.
         peer_rows.truncate(MAX_PEER_ROWS);
         drop(peer_rows);
         self.rows_received.notify(usize::MAX);
     }
 
-    /// The rows told since the last call.
+    /// Removes and returns the rows received since the last call.
     pub fn take_peer_rows(&self) -> Vec<StoreRow> {
-        self.peer_rows.lock().expect("told rows lock").drain(..).collect()
+        self.peer_rows.lock().expect("peer rows lock").drain(..).collect()
     }
 }
--- a/crates/gateway/src/store/shared_tables.rs
+++ b/crates/gateway/src/store/shared_tables.rs
@@ -1,4 +1,4 @@
-//! The tables that gateways read for each other, and what they tell of them.
+//! The tables that gateways read for each other, and the notices and rows they exchange about them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,14 +15,13 @@
 use crate::model::StoreTable;
 use crate::peers::TableRows;
 
-/// Within this requests held back are known to gateways that nobody tells. Those
-/// that hear each other know by what they tell of sends that broke.
+/// Time within which a gateway that receives no reports knows of quarantined requests. Gateways
+/// that receive each other's reports know by the failed attempts reported there.
 const QUARANTINE_MAX_DELAY: Duration = Duration::from_secs(10);
-/// Reads of a table whose news wait to be told.
+/// Maximum number of reads whose changed rows wait to be sent to the peers.
 const OUTGOING_ROWS_CAPACITY: usize = 16;
 
-/// The readings of all shared tables, and the rows that the others are to be
-/// told of.
+/// All shared tables, and the queue of rows to send to the peers.
 #[derive(Debug)]
 pub struct SharedTables {
     tables: [SharedTable; 3],
@@ -30,7 +29,7 @@
 }
 
 impl SharedTables {
-    /// Those of the gateway with `settings` and digest `own`.
+    /// Creates the shared tables of the gateway with `settings` and digest `local_digest`.
     pub fn new(local_digest: u64, settings: &GatewaySettings) -> Self {
         let configuration = (StoreTable::Configuration, settings.config_bound);
         let servers = (StoreTable::Servers, settings.drain_bound);
@@ -42,17 +41,21 @@
         }
     }
 
-    /// That of `table`, which must be one of those read for each other.
+    /// Returns the state of `table`.
+    ///
+    /// # Panics
+    ///
+    /// If `table` is not one of those that gateways read for each other.
     pub fn table(&self, table: StoreTable) -> &SharedTable {
-        self.find(table).expect("a table that is read for others")
+        self.find(table).expect("a table that gateways read for each other")
     }
 
-    /// What a report tells of the tables that this gateway reads for all.
+    /// Returns the notices about the tables that this gateway reads for its peers.
     pub fn notices(&self, now: Instant) -> Vec<TableReadNotice> {
         self.tables.iter().filter_map(|shared_table| shared_table.notice(now)).collect()
     }
 
-    /// `peer` has read a table of the store.
+    /// Applies the notice that `peer` has read a table of the store.
     pub fn apply_peer_notice(&self, peer: &str, notice: TableReadNotice, now: Instant) {
         let Some(read_at) = now.checked_sub(Duration::from_millis(notice.age_ms)) else { return };
         let Some(shared_table) = self.find(notice.table) else { return };
@@ -61,23 +64,22 @@
         shared_table.readers().apply_peer_notice(server_digest(peer), notice);
     }
 
-    /// Another gateway has read rows that say something new.
+    /// Queues changed rows that another gateway has read.
     pub fn apply_peer_rows(&self, received: TableRows) {
         if let Some(shared_table) = self.find(received.table) {
             shared_table.receive_rows(received.rows);
         }
     }
 
-    /// Tells the other gateways of `rows`, once the network takes them. Where
-    /// more are waiting than may, they are dropped: the others see by the
-    /// fingerprint that they lack them, and read the store.
+    /// Queues `rows` to be sent to the peers as the network allows. If the queue is full, the rows
+    /// are dropped: the peers see by the fingerprint that they lack them, and read the store.
     pub fn send_rows(&self, table: StoreTable, rows: Vec<StoreRow>) {
         if self.outgoing_rows.0.try_send(TableRows { table, rows }).is_err() {
             metrics::counter!("umberglade_rows_untold_total").increment(1);
         }
     }
 
-    /// The next rows that the others are to be told of.
+    /// Waits for the next rows to send to the peers.
     pub async fn next_outgoing_rows(&self) -> TableRows {
         self.outgoing_rows.1.recv().await.expect("a channel whose sender is kept")
     }
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -1,4 +1,4 @@
-//! One connection to the store.
+//! Client of the store, over one connection.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -20,14 +20,14 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 
-/// How long a call that the store answers at once may take: the store's
-/// usual answer takes 4 ms; a store that is merely slow (some 50 times that)
-/// is still waited for, one that answers nothing is asked again.
+/// Timeout of a call that the store responds to at once. A response usually takes 4 ms; a store
+/// that is merely slow (some 50 times that) is still waited for, one that does not respond is
+/// called again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Beyond the wait asked for, how long a feed's answer may take.
+/// How long the response to a feed call may take beyond the requested wait.
 const FEED_EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Speaks to the store, one call at a time.
+/// Calls the store, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient<C> {
     connection: KeptClient,
@@ -35,13 +35,13 @@
 }
 
 impl<C: PlatformCodec> StoreClient<C> {
-    /// A client of the store at `address`, not connected yet.
+    /// Creates a client of the store at `address` without connecting.
     pub fn new(address: SocketAddr) -> Self {
         StoreClient { connection: KeptClient::new(address.to_string()), codec: PhantomData }
     }
 
-    /// All rows of `table`, and the version they are as of: that of the
-    /// first page, so that changes made meanwhile come with the feed.
+    /// Returns all rows of `table` and their version: that of the first page, so that changes made
+    /// during the listing come with the feed.
     pub async fn list(
         &mut self,
         table: StoreTable,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Changes of `table` beyond `version`; waits for one up to `wait`.
+    /// Returns the changes of `table` after `version`; waits up to `wait` for the first.
     pub async fn feed(
         &mut self,
         table: StoreTable,
@@ -72,7 +72,7 @@
         self.read("store feed", &path, wait + FEED_EXTRA_TIMEOUT).await
     }
 
-    /// Writes one row of our own.
+    /// Writes one of this gateway's own rows.
     pub async fn put(
         &mut self,
         table: StoreTable,
@@ -89,8 +89,8 @@
         check_status(&reply)
     }
 
-    /// Writes one row of our own if it still has version `known`; the version
-    /// by then, or `None` when another has written it.
+    /// Writes one row if it still has `expected_version`. Returns the store's version after the
+    /// write, or `None` if another writer has changed the row.
     pub async fn claim(
         &mut self,
         table: StoreTable,
@@ -102,8 +102,8 @@
         self.write_conditionally("claim", "store claim", call).await
     }
 
-    /// Removes one row of our own if it still has version `known`; false when
-    /// another has written or removed it.
+    /// Removes one row if it still has `expected_version`. Returns false if another writer has
+    /// changed or removed it.
     pub async fn remove(
         &mut self,
         table: StoreTable,
@@ -115,7 +115,7 @@
         Ok(written.is_some())
     }
 
-    /// Makes a write under a condition; the version by then, or `None` when the
+    /// Makes a conditional write. Returns the store's version after the write, or `None` if the
     /// condition does not hold.
     async fn write_conditionally(
         &mut self,
@@ -136,7 +136,7 @@
         C::written_version(&reply.body).context(DecodeSnafu).map(Some)
     }
 
-    /// The rows of `table` as of one moment; for tables of a few rows.
+    /// Returns the rows of `table` at one point in time, for tables of a few rows.
     pub async fn read_small_table(&mut self, table: StoreTable) -> Result<RowBatch, StoreError> {
         self.read("store look", &C::list_path(table, None), CALL_TIMEOUT).await
     }
--- a/crates/gateway/src/store/store_error.rs
+++ b/crates/gateway/src/store/store_error.rs
@@ -1,4 +1,4 @@
-//! Why a table of the store could not be read.
+//! Errors of calls to the store.
 
 use http::StatusCode;
 use snafu::Snafu;
@@ -6,23 +6,24 @@
 
 use crate::codec::CodecError;
 
-/// A failed call to the store.
+/// Error of a call to the store.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StoreError {
-    /// The exchange failed; the error names step and peer.
+    /// The HTTP exchange failed; the source names the step and the peer.
     #[snafu(display("{source}"))]
     Exchange { source: WireError },
-    /// The store answered with a failure.
-    #[snafu(display("the store answered {status}"))]
+    /// The store responded with an error status.
+    #[snafu(display("the store responded with status {status}"))]
     Status { status: StatusCode },
-    /// Its answer could not be understood.
+    /// The store's response could not be decoded.
     #[snafu(display("{source}"))]
     Decode { source: CodecError },
 }
 
 impl StoreError {
-    /// True when the store no longer has the changes asked for.
+    /// Returns true if the store does not keep the requested changes any more, so that the table
+    /// must be listed again.
     pub fn is_history_expired(&self) -> bool {
         matches!(self, StoreError::Status { status } if *status == StatusCode::GONE)
     }
--- a/crates/gateway/src/store/table_coordinator.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -1,4 +1,5 @@
-//! A follower's part in reading its table together with the other gateways.
+//! Shares the reading of a table with the other gateways: decides when this one reads the store,
+//! and exchanges changed rows with its peers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,20 +21,20 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Reading that takes more than this part of a link is left to others.
+/// Reading that takes more than this fraction of this gateway's link is left to its peers.
 const HEAVY_LINK_FRACTION: f64 = 0.1;
-/// For so long after its first read a gateway tells nobody of rows.
+/// Time after its first read for which a gateway sends no rows to its peers.
 ///
-/// Guards against gateways that start together, each of which takes itself for one
-/// of the few readers until it hears the others: each told all others of each server
-/// that registered, and links were full for seconds.
+/// Prevents gateways that start together from filling their links for seconds: until each of them
+/// receives reports from the others, it acts as one of the few readers and would send
+/// each server that registers to all others.
 const SEND_DELAY: Duration = Duration::from_secs(2);
-/// Telling others of one read may take a link for so long.
+/// Maximum time for which sending the changes of one read may occupy this gateway's link.
 const MAX_SEND_SECONDS: f64 = 0.2;
-/// Reads that follow sooner are not told from a series.
+/// Shortest interval assumed between reads when their load on the link is computed.
 const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The content that a follower holds, and what it and the others tell of it.
+/// The rows that a follower holds, and its exchange of rows with the peers.
 #[derive(Debug)]
 pub struct TableCoordinator {
     state: Arc<GatewayState>,
@@ -41,12 +42,12 @@
     row_set: TableRowSet,
     /// When this gateway first read the table.
     first_read_at: Option<Instant>,
-    /// True while others tell this gateway what the table holds.
+    /// True while this gateway relies on its peers' reads of the table.
     is_listener: bool,
 }
 
 impl TableCoordinator {
-    /// The part of the gateway with `state` in reading `table`.
+    /// Creates the coordinator of `table` for the gateway with `state`.
     pub fn new(state: Arc<GatewayState>, table: StoreTable) -> Self {
         TableCoordinator {
             state,
@@ -57,7 +58,7 @@
         }
     }
 
-    /// What to do next.
+    /// Decides whether this gateway reads the store next, and logs changes of that role.
     pub fn role(&mut self) -> ReadRole {
         let now = Instant::now();
         let rank = self.rank(now);
@@ -83,21 +84,21 @@
             readers,
             gateways_heard = rank.peers,
             age_ms = age.map(|age| age.as_millis() as u64),
-            "who reads the store"
+            "store read role changed"
         );
     }
 
-    /// True when gateways read this table for each other.
+    /// Returns true if there are enough gateways that they read this table for each other.
     pub fn is_shared(&self) -> bool {
         TableReaders::is_shared(self.rank(Instant::now()))
     }
 
-    /// Resolves when others have told of rows.
+    /// Returns a listener that resolves when rows from a peer arrive.
     pub fn rows_received(&self) -> EventListener {
         self.shared_table().rows_received.listen()
     }
 
-    /// The rows that others have told and that say something new here.
+    /// Returns the rows received from peers that change what is held here.
     pub fn take_new_peer_rows(&mut self, sink: &impl TableSink) -> Vec<StoreRow> {
         let peer_rows = self.shared_table().take_peer_rows();
         let rows: Vec<StoreRow> =
@@ -108,17 +109,15 @@
         rows
     }
 
-    /// The store has answered with changes; those that say something new are
-    /// told to the others.
+    /// Records changes that the store returned, and sends those with new content to the peers.
     pub fn record_changes(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
         let is_update = |row: &&StoreRow| record_row(&mut self.row_set, sink, row);
         let updates: Vec<StoreRow> = rows.iter().filter(is_update).cloned().collect();
         self.record_read(updates);
     }
 
-    /// The store has answered with the whole table as of `version`. The others
-    /// are told of rows that are gone; that they lack changed ones they see by
-    /// the fingerprint, and read the store.
+    /// Records the whole table as of `version`, and sends removed rows to the peers. Peers that
+    /// lack changed rows see this by the fingerprint, and read the store.
     pub fn record_listing(
         &mut self,
         rows: &[StoreRow],
@@ -132,19 +131,20 @@
         self.record_read(removed_keys.into_iter().map(removed).collect());
     }
 
-    /// A read of `bytes` takes this gateway's link each `pace`.
-    pub fn record_size(&self, bytes: usize, pace: Duration) {
+    /// Records that each `interval` a read of `bytes` loads this gateway's link.
+    pub fn record_size(&self, bytes: usize, interval: Duration) {
         let Some(link) = self.state.settings.link_bytes_per_s else { return };
-        let bytes_per_s = bytes as f64 / pace.as_secs_f64().max(MIN_READ_INTERVAL.as_secs_f64());
+        let bytes_per_s =
+            bytes as f64 / interval.as_secs_f64().max(MIN_READ_INTERVAL.as_secs_f64());
         self.shared_table().readers().set_heavy(bytes_per_s > link * HEAVY_LINK_FRACTION);
     }
 
-    /// When the content held here was last the store's.
+    /// Returns the latest time at which the rows held here matched the store.
     pub fn known_at(&self) -> Option<Instant> {
         self.shared_table().readers().known_at()
     }
 
-    /// A call to the store failed.
+    /// Records that a call to the store failed.
     pub fn record_failure(&self) {
         self.shared_table().readers().record_failure();
     }
@@ -160,8 +160,8 @@
         }
     }
 
-    /// True where telling all others of `rows` takes little of this gateway's link:
-    /// of more they read for themselves.
+    /// Returns true if `rows` may be sent: their table holds no API keys, and sending them to all
+    /// peers takes little of this gateway's link. The peers read larger changes from the store.
     fn may_send_rows(&self, rows: &[StoreRow]) -> bool {
         if self.table.holds_keys() {
             return false;
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -1,4 +1,4 @@
-//! Follows one table: a listing, then its changes.
+//! Follows one table of the store: lists it, then waits for its changes.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,58 +20,57 @@
 use crate::model::StoreVersion;
 use crate::timing::by_deadline;
 
-/// The pause after a first failed call, doubled with each in a row.
+/// Delay after a first failed call, doubled with each further failure in a row.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The longest pause: short against the time in which a configuration must
-/// be in force once the store is back.
+/// Maximum delay between failed calls: short compared with the time in which a configuration must
+/// be in force once the store is available again.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(700);
 
-/// Outages shorter than this let no entry lapse: servers renew theirs about
-/// each second, and three renewals must be missed.
+/// Outages shorter than this let no entry expire: servers renew theirs about each second, and an
+/// entry expires after three missed renewals.
 const MIN_OUTAGE: Duration = Duration::from_millis(1000);
 
-/// What frames a row in the store's answers, in bytes.
+/// Approximate overhead of a row in the store's responses, in bytes.
 const ROW_OVERHEAD: usize = 40;
 
-/// What takes in a table's rows.
+/// Receives the rows of a table.
 pub trait TableSink: Send + 'static {
-    /// The whole table as of `version`.
+    /// Applies the whole table as of `version`.
     fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion);
-    /// Changes, in order.
+    /// Applies changes in their order.
     fn apply_changes(&mut self, rows: Vec<StoreRow>);
-    /// A digest of what a row says, the same while it says nothing new; `None`
-    /// when the row is gone.
+    /// Returns a digest of a row's content, which stays the same until the row changes in a way
+    /// that matters, or `None` if the row was removed.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest>;
-    /// The store answers again after it did not.
+    /// Called when the store is available again after an outage.
     fn store_available(&mut self) {}
-    /// A call was answered, with or without changes.
+    /// Called when the store has responded to a call, with or without changes.
     fn record_read(&mut self) {}
-    /// Resolves when the feed should be read at once, on a new connection.
+    /// Returns a listener that resolves when the feed should be read at once, on a new connection.
     fn read_trigger(&self) -> Option<EventListener> {
         None
     }
 }
 
-/// Keeps a sink up to date with one table, for as long as the process
-/// lives. What the sink knows stays while the store can't be read.
+/// Keeps a sink up to date with one table until the process stops. The sink keeps its state while
+/// the store can't be read.
 #[derive(Debug)]
 pub struct TableFollower<C, S> {
     pub client: StoreClient<C>,
     pub table: StoreTable,
     pub sink: S,
-    /// How long a feed call waits at the store. Guards against a connection
-    /// that has gone silent: it is found out within this time and a little,
-    /// while a new one works.
+    /// How long a feed call waits at the store. Bounds the time for which a silent connection goes
+    /// unnoticed: it is detected shortly after this time, and a new one works.
     pub feed_wait: Duration,
-    /// The least time between calls: tables that change all the time are
-    /// read in batches, which saves calls and costs at most this delay.
+    /// Minimum interval between calls: tables that change all the time are read in batches, which
+    /// saves calls and costs at most this delay.
     pub min_interval: Duration,
     /// Set for tables that gateways read for each other.
     pub coordinator: Option<TableCoordinator>,
 }
 
 impl<C: PlatformCodec, S: TableSink> TableFollower<C, S> {
-    /// Follows the table for good.
+    /// Follows the table until the process stops.
     pub async fn run(mut self) {
         let mut position: Option<StoreVersion> = None;
         let mut failures: u32 = 0;
@@ -79,7 +78,7 @@
         let mut was_listener = false;
         loop {
             if let Some(until) = self.listen_until() {
-                // What others tell meanwhile is in no feed from here on.
+                // Rows received from peers meanwhile are in no feed from this position.
                 position = None;
                 was_listener = true;
                 self.record_age(self.known_at().unwrap_or(known_at));
@@ -90,7 +89,7 @@
             self.apply_peer_rows();
             let started_at = Instant::now();
             known_at = self.known_at().unwrap_or(known_at);
-            // Others that fall silent may do so because the store did.
+            // Peers may stop sending notices because the store does not respond.
             let is_outage = failures > 0 || was_listener;
             let outage = if is_outage { known_at.elapsed() } else { Duration::ZERO };
             was_listener = false;
@@ -118,8 +117,8 @@
                         coordinator.record_failure();
                     }
                     smol::Timer::after(retry_delay(failures)).await;
-                    // After an outage the whole table is read: the feed
-                    // would tell nothing of entries that lapsed unseen.
+                    // After an outage the whole table is read: the feed would not report entries
+                    // that expired during the outage.
                     if failures > 1 {
                         position = None;
                     }
@@ -128,8 +127,8 @@
         }
     }
 
-    /// Until when what other gateways tell is enough; `None` when this one
-    /// reads the store itself now.
+    /// Returns until when this gateway may rely on its peers' reads, or `None` if it reads the
+    /// store itself now.
     fn listen_until(&mut self) -> Option<Instant> {
         match self.coordinator.as_mut()?.role() {
             ReadRole::Reader => None,
@@ -137,8 +136,8 @@
         }
     }
 
-    /// Takes in what other gateways tell, until `until` at most; true when the
-    /// store should be read all the same.
+    /// Waits for rows from peers, until `until` at most. Returns true if the store should be read
+    /// nevertheless.
     async fn apply_peer_rows_until(&mut self, until: Instant) -> bool {
         let Some(coordinator) = &mut self.coordinator else { return true };
         let rows_received = coordinator.rows_received();
@@ -160,8 +159,8 @@
         by_deadline(until, woken.or(is_triggered)).await.unwrap_or(false)
     }
 
-    /// Takes in rows that others told; true when some say something new. A gateway
-    /// that reads the table too does not tell of them again.
+    /// Applies rows received from peers. Returns true if some changed what is held here. A gateway
+    /// that also reads the table does not send them again.
     fn apply_peer_rows(&mut self) -> bool {
         let Some(coordinator) = &mut self.coordinator else { return false };
         let rows = coordinator.take_new_peer_rows(&self.sink);
@@ -172,7 +171,8 @@
         has_updates
     }
 
-    /// One call; `outage` is how long the table's content has not been known.
+    /// Makes one call to the store. `outage` is the time for which the table's content was not
+    /// known.
     async fn read_store(
         &mut self,
         position: Option<StoreVersion>,
@@ -204,8 +204,8 @@
         }
     }
 
-    /// A feed call. When a read falls due meanwhile, the call is begun anew on
-    /// another connection: this one may have gone silent.
+    /// Makes a feed call. If the sink's trigger fires meanwhile, the call is started again on
+    /// another connection: the present one may be silent.
     async fn feed(&mut self, version: StoreVersion) -> Result<RowBatch, StoreError> {
         let feed_wait = self.halved_if_shared(self.feed_wait);
         loop {
@@ -222,20 +222,20 @@
         }
     }
 
-    /// The least time between two calls here.
+    /// Returns the minimum interval between this gateway's calls.
     fn read_interval(&self) -> Duration {
         self.halved_if_shared(self.min_interval)
     }
 
-    /// Half of `time` where this gateway reads for others too: what they know
-    /// is older by a report.
+    /// Returns half of `time` if gateways read this table for each other: what the peers of a
+    /// reader know is older by a report.
     fn halved_if_shared(&self, time: Duration) -> Duration {
         let is_shared = self.coordinator.as_ref().is_some_and(TableCoordinator::is_shared);
         if is_shared { time / 2 } else { time }
     }
 
-    /// When the content held here was last the store's, by our own reads or
-    /// what others told.
+    /// Returns the latest time at which the rows held here matched the store, by local reads or the
+    /// peers' notices.
     fn known_at(&self) -> Option<Instant> {
         self.coordinator.as_ref().and_then(TableCoordinator::known_at)
     }
@@ -253,7 +253,7 @@
             table = %self.table,
             failures,
             outage_ms,
-            "store read again"
+            "store available again"
         );
     }
 
@@ -270,7 +270,7 @@
             version = position.unwrap_or(0),
             age_ms,
             %error,
-            "store not read; what is known stays in force"
+            "store unavailable; keeping the state read last"
         );
     }
 
@@ -281,7 +281,7 @@
     }
 }
 
-/// About what `rows` take on the way, by their values.
+/// Estimates the size of `rows` on the wire from their keys and values.
 pub(super) fn estimated_bytes(rows: &[StoreRow]) -> usize {
     let value = |row: &StoreRow| match &row.value {
         RowValue::Held(value) => value.len() * 4 / 3,
--- a/crates/gateway/src/store/unreadable_row.rs
+++ b/crates/gateway/src/store/unreadable_row.rs
@@ -1,10 +1,10 @@
-//! Rows that hold what the gateway can't read: some other writer's.
+//! Logs rows that the gateway can't decode, such as those of other writers.
 
 use crate::events;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
 
-/// Logs a row that holds what can't be read.
+/// Logs and counts a row that can't be decoded.
 pub fn log_unreadable(table: StoreTable, row: &StoreRow, problem: &str) {
     metrics::counter!("umberglade_rows_unreadable_total", "table" => table.to_string())
         .increment(1);
--- a/crates/gateway/tests/event_catalogue.rs
+++ b/crates/gateway/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events holds each number the code logs.
+//! Checks that the catalogue of log events lists each number that the code logs.
 
 use std::collections::BTreeSet;
 
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of bytes that come in any pieces.
+//! Splits a byte stream that arrives in arbitrary pieces into whole events.
 
 use proptest::prelude::*;
 use umberglade_gateway::forward::EventSplitter;
@@ -59,8 +59,7 @@
 }
 
 proptest! {
-    /// However the bytes are cut on the way, the same events come out, and
-    /// nothing is lost or joined.
+    /// The same events result however the bytes are split in transit; none is lost or joined.
     #[test]
     fn pieces_make_no_difference(
         texts in prop::collection::vec("[a-z ]{0,20}", 0..8),
