--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -94,7 +94,7 @@
 ) {
     metrics::counter!("umberglade_calls_held_total").increment(1);
     tracing::info!(
-        event = events::CALL_HELD_BACK,
+        event = events::CALL_QUARANTINED,
         request_id = call.id(),
         content = fingerprint_key(call.fingerprint),
         service = %call.service,
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -206,7 +206,7 @@
         running += server_state.local_load.plus(peer_load.load).running;
     }
     tracing::info!(
-        event = events::NO_ROOM,
+        event = events::NO_CAPACITY,
         request_id = call.id(),
         service = %call.service,
         config = call.config,
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -187,7 +187,7 @@
     let kind = failure.to_string();
     metrics::counter!("umberglade_send_failures_total", "failure" => kind).increment(1);
     tracing::info!(
-        event = events::SEND_FAILED,
+        event = events::ATTEMPT_FAILED,
         request_id = call.id(),
         content = fingerprint_key(call.fingerprint),
         server = %target.server,
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -259,7 +259,7 @@
     }
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
-    *response.headers_mut() = C::reply_headers(&parts.headers);
+    *response.headers_mut() = C::response_headers(&parts.headers);
     SendOutcome::Responded(response)
 }
 
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -315,7 +315,7 @@
     fn log_end(&self, end: RelayOutcome) {
         let event = match end {
             RelayOutcome::Whole => events::CALL_DONE,
-            RelayOutcome::CallerLeft => events::CALLER_LEFT,
+            RelayOutcome::CallerLeft => events::CALLER_DISCONNECTED,
             RelayOutcome::Expired | RelayOutcome::Broken => events::STREAM_BROKEN,
         };
         let outcome = end.to_string();
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -81,7 +81,7 @@
         return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::mark_caller(&mut parts.headers, &caller_mark);
+    C::set_caller_headers(&mut parts.headers, &caller_mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
         None => return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version)),
@@ -226,7 +226,7 @@
     config: u64,
 ) -> ReadOutcome {
     tracing::info!(
-        event = events::CALL_REFUSED,
+        event = events::CALL_REJECTED,
         request_id,
         reason = %rejection,
         status = rejection.status().as_u16(),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -32,8 +32,8 @@
 use crate::store::QuarantineSink;
 use crate::store::ServerSink;
 use crate::store::StoreClient;
+use crate::store::TableCoordinator;
 use crate::store::TableFollower;
-use crate::store::TableSharing;
 
 /// Fraction of the configuration's bound for which its feed waits at the store. Together with the
 /// call's margin and a new connection, a connection that has become silent hides a change for less
@@ -127,7 +127,7 @@
     let started_at = Instant::now();
     state.stop.begin(started_at);
     tracing::info!(
-        event = events::STOP_BEGUN,
+        event = events::SHUTDOWN_STARTED,
         in_flight = state.in_flight.requests(),
         "graceful stop started"
     );
@@ -168,7 +168,7 @@
         Ok(listener) => Some(listener),
         Err(error) => {
             tracing::warn!(
-                event = events::COPIES_UNBOUND,
+                event = events::CONFIG_TRANSFER_BIND_FAILED,
                 %address,
                 %error,
                 "cannot bind the listener that sends the configuration to peers"
@@ -190,7 +190,7 @@
         Err(error) => {
             settings.metrics = None;
             tracing::warn!(
-                event = events::METRICS_UNBOUND,
+                event = events::METRICS_BIND_FAILED,
                 %error,
                 "cannot bind the metrics listener"
             );
@@ -205,25 +205,25 @@
         client: StoreClient::<C>::new(store),
         table: StoreTable::Configuration,
         sink: ConfigSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_FRACTION),
-        pace: CONFIG_READ_INTERVAL,
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Configuration)),
+        feed_wait: state.settings.config_bound.mul_f64(CONFIG_WAIT_FRACTION),
+        min_interval: CONFIG_READ_INTERVAL,
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Configuration)),
     };
     let servers = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Servers,
         sink: ServerSink::<C>::new(Arc::clone(state)),
-        wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_FRACTION),
-        pace: state.settings.drain_bound.mul_f64(SERVER_READ_INTERVAL_FRACTION),
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Servers)),
+        feed_wait: state.settings.drain_bound.mul_f64(SERVER_WAIT_FRACTION),
+        min_interval: state.settings.drain_bound.mul_f64(SERVER_READ_INTERVAL_FRACTION),
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Servers)),
     };
     let quarantines = TableFollower {
         client: StoreClient::<C>::new(store),
         table: StoreTable::Quarantines,
         sink: QuarantineSink::new(Arc::clone(state)),
-        wait: QUARANTINE_WAIT,
-        pace: QUARANTINE_READ_INTERVAL,
-        sharing: Some(TableSharing::new(Arc::clone(state), StoreTable::Quarantines)),
+        feed_wait: QUARANTINE_WAIT,
+        min_interval: QUARANTINE_READ_INTERVAL,
+        coordinator: Some(TableCoordinator::new(Arc::clone(state), StoreTable::Quarantines)),
     };
     pool::spawn(config.run());
     pool::spawn(servers.run());
@@ -243,7 +243,7 @@
             Ok(()) => break,
             Err(error) => {
                 tracing::info!(
-                    event = events::STORE_LOST,
+                    event = events::STORE_UNAVAILABLE,
                     table = "members",
                     %error,
                     "cannot register with the store; retrying"
@@ -256,9 +256,9 @@
         client,
         table: StoreTable::Members,
         sink: MemberSink::new(state, registry),
-        wait: Duration::ZERO,
-        pace: MEMBER_READ_INTERVAL,
-        sharing: None,
+        feed_wait: Duration::ZERO,
+        min_interval: MEMBER_READ_INTERVAL,
+        coordinator: None,
     };
     members.run().await;
 }
@@ -267,7 +267,8 @@
 fn log_peers(state: &GatewayState, before: usize, now: Instant) -> usize {
     let live_peers = state.fleet().peers.live_peers(now);
     if live_peers != before {
-        let event = if live_peers > before { events::PEER_REGAINED } else { events::PEER_LOST };
+        let event =
+            if live_peers > before { events::PEER_AVAILABLE } else { events::PEER_UNAVAILABLE };
         let members = state.members();
         tracing::info!(event, peers = live_peers, before, members, "number of live peers changed");
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -37,7 +37,7 @@
 use crate::stop::FORWARDING_CUTOFF;
 use crate::stop::STOP_GRACE_MARGIN;
 use crate::stop::StopSignal;
-use crate::store::SharedReadings;
+use crate::store::SharedTables;
 use crate::upstream::ConnectionPool;
 use crate::upstream::SendTarget;
 
@@ -66,7 +66,7 @@
     /// Notified when a server may have capacity again, or more has become known.
     pub capacity_changed: Event,
     /// Store tables that gateways read for their peers.
-    pub readings: SharedReadings,
+    pub readings: SharedTables,
     /// Requests that are quarantined because servers crash while executing them.
     pub quarantines: Quarantines,
     /// Remaining quotas of organisations.
@@ -102,7 +102,7 @@
         let digest = server_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
-            readings: SharedReadings::new(digest, &settings),
+            readings: SharedTables::new(digest, &settings),
             settings,
             metrics,
             pool: ConnectionPool::default(),
@@ -176,7 +176,7 @@
         if is_ejected && !was_ejected {
             metrics::counter!("umberglade_server_aside_total").increment(1);
             tracing::warn!(
-                event = events::SERVER_ASIDE,
+                event = events::SERVER_EJECTED,
                 server,
                 outcome = %outcome,
                 failure_share,
