--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -71,7 +71,7 @@
 
 fn decide<P: Placement>(placement: &P, slots: &[Arc<ServerSlot>], preset: &Preset) {
     let shape = PromptShape { tokens: 5000, prefix_hash: 7, prefix_tokens: 1800, digest: 1 };
-    let need = PlacementRequest {
+    let request = PlacementRequest {
         shape: &shape,
         priority: Priority::Standard,
         preset,
@@ -82,8 +82,8 @@
         reserve: 2,
         max_local_queue_tokens: 16_000,
     };
-    black_box(placement.prefill(slots, &need));
-    black_box(placement.decode(slots, &need));
+    black_box(placement.prefill(slots, &request));
+    black_box(placement.decode(slots, &request));
 }
 
 fn bench_policy<P: Placement>(criterion: &mut Criterion, name: &str, placement: P) {
@@ -96,8 +96,8 @@
         for _ in 0..COUNTED_DECISIONS {
             decide(&placement, &slots, &preset);
         }
-        let each = (ALLOCATIONS.load(Ordering::Relaxed) - before) / COUNTED_DECISIONS;
-        println!("{name}/{count}: {each} allocations for both decisions");
+        let per_decision = (ALLOCATIONS.load(Ordering::Relaxed) - before) / COUNTED_DECISIONS;
+        println!("{name}/{count}: {per_decision} allocations for both decisions");
         group.bench_with_input(BenchmarkId::new(name, count), &slots, |bencher, slots| {
             bencher.iter(|| decide(&placement, slots, &preset));
         });
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -33,7 +33,7 @@
 /// How far the site's instance list lags.
 const INSTANCE_LAG: Duration = Duration::from_secs(1);
 /// Rest between runs, so that one's leftovers do not weigh on the next.
-const REST: Duration = Duration::from_millis(1500);
+const PAUSE_BETWEEN_RUNS: Duration = Duration::from_millis(1500);
 
 /// A policy to measure.
 #[derive(
@@ -94,7 +94,7 @@
                 let row = ExperimentRow { policy: *policy, run: number, summary };
                 report(&row);
                 rows.push(row);
-                smol::Timer::after(REST).await;
+                smol::Timer::after(PAUSE_BETWEEN_RUNS).await;
             }
         }
     }
@@ -121,7 +121,7 @@
         engines: site.engine_addrs(),
     };
     for fault in &workload.fault {
-        inject(&site, fault)?;
+        schedule_fault(&site, fault)?;
     }
     Ok(load::run(workload, &Arc::new(target), scale, seed).await)
 }
@@ -176,7 +176,7 @@
 }
 
 /// Sets `fault` going at its time and ends it again.
-fn inject(site: &LocalSite, fault: &TimedFault) -> Result<(), ExperimentError> {
+fn schedule_fault(site: &LocalSite, fault: &TimedFault) -> Result<(), ExperimentError> {
     let engine = site
         .engines
         .iter()
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -29,7 +29,7 @@
 /// The prompt: 40 words, about 40 tokens.
 const PROMPT: &str = "lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor \
 lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor ";
-const TOKENS: u32 = 8;
+const MAX_TOKENS: u32 = 8;
 const TIMEOUT: Duration = Duration::from_secs(5);
 const PRESET: &str = include_str!("../../../presets/ordinary.toml");
 
@@ -48,7 +48,7 @@
 
 /// Times of one way to the engines, milliseconds.
 #[derive(Debug, Clone, Serialize)]
-pub struct WayTimes {
+pub struct PathLatencies {
     pub first_token_p50: f64,
     pub first_token_p95: f64,
     pub whole_p50: f64,
@@ -59,15 +59,15 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct LatencyReport {
     pub requests: u32,
-    pub direct: WayTimes,
-    pub routed: WayTimes,
+    pub direct: PathLatencies,
+    pub routed: PathLatencies,
     /// Routed over direct, at the median.
     pub first_token_ratio: f64,
     pub whole_ratio: f64,
 }
 
 /// One request's times.
-struct RequestTimes {
+struct RequestLatencies {
     first_token: Duration,
     whole: Duration,
 }
@@ -85,8 +85,8 @@
         site.add_daemon(settings, AffinityPlacement::default()).await.context(SiteSnafu)?;
     let engines = site.engine_addrs();
     let daemon = started.local.to_string();
-    let mut direct = WayHistograms::new();
-    let mut routed = WayHistograms::new();
+    let mut direct = PathHistograms::new();
+    let mut routed = PathHistograms::new();
     for number in 0..requests {
         direct.record(&send_direct(&engines, number).await?);
         routed.record(&send_routed(&daemon, number).await?);
@@ -101,8 +101,8 @@
     })
 }
 
-async fn send_direct(engines: &[String], number: u32) -> Result<RequestTimes, LatencyError> {
-    let begun = Instant::now();
+async fn send_direct(engines: &[String], number: u32) -> Result<RequestLatencies, LatencyError> {
+    let started_at = Instant::now();
     let request_id = format!("direct-{number}");
     let order = PrefillOrder {
         request_id: request_id.clone(),
@@ -129,7 +129,7 @@
         kv_source: engines[0].clone(),
         kv_handle: reply.kv_handle,
         prompt_tokens: order.prompt_tokens,
-        max_tokens: TOKENS,
+        max_tokens: MAX_TOKENS,
         answer_seed: 1,
         resume_from: 0,
         priority: Priority::Urgent,
@@ -142,15 +142,15 @@
         .send("decode", Method::POST, "/v1/decode", Some(body))
         .await
         .context(ExchangeSnafu)?;
-    read_lines(LineReader::new(response.into_body()), begun, b"{").await
+    read_lines(LineReader::new(response.into_body()), started_at, b"{").await
 }
 
-async fn send_routed(daemon: &str, number: u32) -> Result<RequestTimes, LatencyError> {
-    let begun = Instant::now();
+async fn send_routed(daemon: &str, number: u32) -> Result<RequestLatencies, LatencyError> {
+    let started_at = Instant::now();
     let body = serde_json::json!({
         "model": MODEL,
         "stream": true,
-        "max_tokens": TOKENS,
+        "max_tokens": MAX_TOKENS,
         "messages": [{ "role": "user", "content": format!("{number} {PROMPT}") }],
     });
     let request = http::Request::builder()
@@ -162,47 +162,47 @@
         .send_with("routed", request, body.to_string().into())
         .await
         .context(ExchangeSnafu)?;
-    read_lines(LineReader::new(response.into_body()), begun, b"data: ").await
+    read_lines(LineReader::new(response.into_body()), started_at, b"data: ").await
 }
 
 /// Reads to the end; the first line that begins with `mark` is the first
 /// token.
 async fn read_lines(
     mut reader: LineReader,
-    begun: Instant,
-    mark: &[u8],
-) -> Result<RequestTimes, LatencyError> {
+    started_at: Instant,
+    token_prefix: &[u8],
+) -> Result<RequestLatencies, LatencyError> {
     let mut first_token = None;
     while let Some(line) = reader.next_line().await.context(BodySnafu)? {
-        if line.starts_with(mark) {
-            first_token.get_or_insert_with(|| begun.elapsed());
+        if line.starts_with(token_prefix) {
+            first_token.get_or_insert_with(|| started_at.elapsed());
         }
     }
-    let whole = begun.elapsed();
-    Ok(RequestTimes { first_token: first_token.unwrap_or(whole), whole })
+    let whole = started_at.elapsed();
+    Ok(RequestLatencies { first_token: first_token.unwrap_or(whole), whole })
 }
 
-struct WayHistograms {
+struct PathHistograms {
     first_token: Histogram<u64>,
     whole: Histogram<u64>,
 }
 
-impl WayHistograms {
+impl PathHistograms {
     fn new() -> Self {
         let new = || Histogram::new(3).expect("valid histogram figures");
-        WayHistograms { first_token: new(), whole: new() }
+        PathHistograms { first_token: new(), whole: new() }
     }
 
-    fn record(&mut self, times: &RequestTimes) {
+    fn record(&mut self, times: &RequestLatencies) {
         let _ = self.first_token.record(times.first_token.as_micros() as u64);
         let _ = self.whole.record(times.whole.as_micros() as u64);
     }
 
-    fn times(&self) -> WayTimes {
+    fn times(&self) -> PathLatencies {
         let at = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1000.0
         };
-        WayTimes {
+        PathLatencies {
             first_token_p50: at(&self.first_token, 0.5),
             first_token_p95: at(&self.first_token, 0.95),
             whole_p50: at(&self.whole, 0.5),
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -21,7 +21,7 @@
 /// A word of filler text: 4 bytes, about one token.
 const FILLER_WORD: &str = "lor ";
 /// Callers come back only while this share of their time is left.
-const COME_BACK_SHARE: f64 = 1.0 / 3.0;
+const MAX_RETRY_WAIT_FRACTION: f64 = 1.0 / 3.0;
 
 /// How a caller's request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
@@ -48,7 +48,7 @@
     /// The last HTTP status, 0 when none came.
     pub status: u16,
     /// The `type` of the error body of a refusal.
-    pub refusal: String,
+    pub rejection_type: String,
     /// The last refusal had no `Retry-After`.
     pub refused_without_retry_after: bool,
     /// From the first attempt to the first token, or to the answer.
@@ -61,12 +61,12 @@
 pub async fn call(workload: &Workload, target: &LoadTarget, arrival: &Arrival) -> CallOutcome {
     let class = &workload.class[arrival.class];
     let started = Instant::now();
-    let patience = arrival.hangs_up_after.unwrap_or(class.deadline());
+    let max_wait = arrival.hangs_up_after.unwrap_or(class.deadline());
     let mut outcome = CallOutcome {
         class: arrival.class,
         result: CallResult::Failed,
         status: 0,
-        refusal: String::new(),
+        rejection_type: String::new(),
         refused_without_retry_after: false,
         ttft: None,
         tpot: None,
@@ -74,7 +74,7 @@
     let attempts = attempts(workload, target, arrival, started, &mut outcome);
     let in_time = attempts
         .or(async {
-            smol::Timer::after(patience).await;
+            smol::Timer::after(max_wait).await;
             false
         })
         .await;
@@ -104,16 +104,16 @@
         };
         outcome.status = response.status().as_u16();
         if response.status().is_success() {
-            read_answer(class, response, started, outcome).await;
+            read_response(class, response, started, outcome).await;
             return true;
         }
         let wait = retry_after(&response);
-        note_refusal(response, wait, outcome).await;
+        record_rejection(response, wait, outcome).await;
         let left = class.deadline().saturating_sub(started.elapsed());
         let Some(wait) = wait.map(Duration::from_secs) else {
             return true;
         };
-        if outcome.result != CallResult::Refused || wait > left.mul_f64(COME_BACK_SHARE) {
+        if outcome.result != CallResult::Refused || wait > left.mul_f64(MAX_RETRY_WAIT_FRACTION) {
             return true;
         }
         if attempt < class.retries {
@@ -123,21 +123,21 @@
     true
 }
 
-async fn note_refusal(
+async fn record_rejection(
     response: Response<hyper::body::Incoming>,
     wait: Option<u64>,
     outcome: &mut CallOutcome,
 ) {
-    let is_promise = matches!(outcome.status, 429 | 503);
-    outcome.result = if is_promise { CallResult::Refused } else { CallResult::Failed };
-    outcome.refused_without_retry_after = is_promise && wait.is_none();
+    let is_rejection = matches!(outcome.status, 429 | 503);
+    outcome.result = if is_rejection { CallResult::Refused } else { CallResult::Failed };
+    outcome.refused_without_retry_after = is_rejection && wait.is_none();
     let client = HttpClient::new("-", Duration::from_secs(2));
     if let Err(error) = client.read_whole("refusal", response).await {
-        outcome.refusal = refusal_kind(&error).unwrap_or_default();
+        outcome.rejection_type = rejection_type(&error).unwrap_or_default();
     }
 }
 
-fn refusal_kind(error: &umberglade_wire::WireError) -> Option<String> {
+fn rejection_type(error: &umberglade_wire::WireError) -> Option<String> {
     let umberglade_wire::WireError::Status { body, .. } = error else {
         return None;
     };
@@ -175,7 +175,7 @@
     client.send_with("load call", request, body.into()).await
 }
 
-async fn read_answer(
+async fn read_response(
     class: &RequestClass,
     response: Response<hyper::body::Incoming>,
     started: Instant,
@@ -217,7 +217,7 @@
 }
 
 fn completion_body(model: &str, class: &RequestClass, arrival: &Arrival) -> String {
-    let own = arrival.prompt_tokens.saturating_sub(class.prefix_tokens) as usize;
+    let unique_tokens = arrival.prompt_tokens.saturating_sub(class.prefix_tokens) as usize;
     let mut messages = Vec::new();
     if class.prefix_tokens > 0 {
         let prefix = format!(
@@ -228,7 +228,8 @@
         );
         messages.push(serde_json::json!({ "role": "system", "content": prefix }));
     }
-    let content = format!("{} {}: {}", class.name, arrival.number, FILLER_WORD.repeat(own));
+    let content =
+        format!("{} {}: {}", class.name, arrival.number, FILLER_WORD.repeat(unique_tokens));
     messages.push(serde_json::json!({ "role": "user", "content": content }));
     serde_json::json!({
         "model": model,
--- a/crates/bench/src/load/summary.rs
+++ b/crates/bench/src/load/summary.rs
@@ -107,15 +107,15 @@
             .iter()
             .enumerate()
             .map(|(index, class)| {
-                let mine = outcomes.iter().filter(|outcome| outcome.class == index);
-                summarise(class, mine)
+                let class_outcomes = outcomes.iter().filter(|outcome| outcome.class == index);
+                summarise(class, class_outcomes)
             })
             .collect();
         let good: u32 = classes.iter().map(|class| class.good).sum();
         let owed: u32 = classes.iter().map(|class| class.owed).sum();
-        let first_prefixes = prefix_tokens_once(workload);
-        let again = prefill.prefix.saturating_sub(first_prefixes);
-        let wasted_tokens = prefill.unused + prefill.repeated + again;
+        let distinct_prefix_tokens = sum_distinct_prefix_tokens(workload);
+        let repeated_prefix_tokens = prefill.prefix.saturating_sub(distinct_prefix_tokens);
+        let wasted_tokens = prefill.unused + prefill.repeated + repeated_prefix_tokens;
         RunSummary {
             workload: workload.name.clone(),
             scale,
@@ -131,7 +131,7 @@
 }
 
 /// Tokens of every shared prefix, each computed once.
-fn prefix_tokens_once(workload: &Workload) -> u64 {
+fn sum_distinct_prefix_tokens(workload: &Workload) -> u64 {
     workload
         .class
         .iter()
@@ -176,7 +176,8 @@
             summary.refused_without_retry_after += 1;
         }
         if matches!(outcome.result, CallResult::Refused | CallResult::Cut | CallResult::Failed) {
-            let reason = format!("{} {} {}", outcome.result, outcome.status, outcome.refusal);
+            let reason =
+                format!("{} {} {}", outcome.result, outcome.status, outcome.rejection_type);
             *summary.reasons.entry(reason).or_default() += 1;
         }
         if outcome.result != CallResult::Whole {
--- a/crates/bench/src/report/table.rs
+++ b/crates/bench/src/report/table.rs
@@ -46,18 +46,19 @@
         "| load | policy | goodput | wasted prefill (share) | wasted tokens | goodput vs. it | wasted vs. it |\n|---|---|---|---|---|---|---|\n",
     );
     for scale in scales(rows) {
-        let own = mean(rows, PolicyName::Affinity, scale);
+        let affinity = mean(rows, PolicyName::Affinity, scale);
         for policy in PolicyName::iter() {
             let Some(mean) = mean(rows, policy, scale) else {
                 continue;
             };
-            let ratio = |own: f64, other: f64| match policy {
+            let ratio = |affinity: f64, other: f64| match policy {
                 PolicyName::Affinity => "—".to_owned(),
                 _ if other == 0.0 => "n/a".to_owned(),
-                _ => format!("{:.2}×", own / other),
+                _ => format!("{:.2}×", affinity / other),
             };
-            let (goodput, wasted) =
-                own.as_ref().map_or((0.0, 0.0), |own| (own.goodput, own.wasted_tokens));
+            let (goodput, wasted) = affinity
+                .as_ref()
+                .map_or((0.0, 0.0), |affinity| (affinity.goodput, affinity.wasted_tokens));
             let _ = writeln!(
                 table,
                 "| {scale:.2} | {policy} | {:.1} % | {:.1} % | {:.0} | {} | {} |",
@@ -90,13 +91,13 @@
         return None;
     }
     let count = matching.len() as f64;
-    let over = |figure: fn(&ExperimentRow) -> f64| {
+    let average = |figure: fn(&ExperimentRow) -> f64| {
         matching.iter().map(|row| figure(row)).sum::<f64>() / count
     };
     Some(PolicyMean {
-        goodput: over(|row| row.summary.goodput_share),
-        wasted_share: over(|row| row.summary.wasted_share),
-        wasted_tokens: over(|row| row.summary.wasted_tokens as f64),
+        goodput: average(|row| row.summary.goodput_share),
+        wasted_share: average(|row| row.summary.wasted_share),
+        wasted_tokens: average(|row| row.summary.wasted_tokens as f64),
     })
 }
 
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -31,7 +31,7 @@
 use umberglade_wire::server::RequestHandler;
 
 /// Waits for servers to show are cut off after this long.
-const READY_LIMIT: Duration = Duration::from_secs(5);
+const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The deployment's platform and servers; daemons are added to it.
 #[derive(Debug)]
@@ -131,7 +131,7 @@
         placement: P,
     ) -> io::Result<StartedDaemon<P>> {
         let started = start::start(settings, placement, None).await?;
-        let deadline = std::time::Instant::now() + READY_LIMIT;
+        let deadline = std::time::Instant::now() + READY_TIMEOUT;
         while started.daemon.status().servers.len() < self.servers {
             if std::time::Instant::now() > deadline {
                 return Err(io::Error::other("a daemon never saw every server"));
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -207,8 +207,8 @@
     }
 }
 
-fn check(field: &str, holds: bool, problem: &str) -> Result<(), WorkloadError> {
-    if holds {
+fn check(field: &str, condition: bool, problem: &str) -> Result<(), WorkloadError> {
+    if condition {
         return Ok(());
     }
     Err(WorkloadError::Field { field: field.to_owned(), problem: problem.to_owned() })
--- a/crates/umberctl/src/explain.rs
+++ b/crates/umberctl/src/explain.rs
@@ -10,7 +10,7 @@
 use crate::commands::CommandError;
 
 /// Fields that every line has or that the story names by itself.
-const OWN_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
+const HEADER_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
 /// Reads standard input in place of a file.
 const STANDARD_INPUT: &str = "-";
 
@@ -28,23 +28,24 @@
              lines were dropped (look for event 7006)"
         ));
     }
-    Ok(lines.iter().map(StoryLine::render).collect::<Vec<_>>().join("\n"))
+    Ok(lines.iter().map(LogRecord::render).collect::<Vec<_>>().join("\n"))
 }
 
-struct StoryLine {
+struct LogRecord {
     timestamp: String,
     source: String,
     fields: Map<String, Value>,
 }
 
-impl StoryLine {
+impl LogRecord {
     fn render(&self) -> String {
-        let text = |name| self.fields.get(name).map(plain).unwrap_or_default();
+        let text = |name| self.fields.get(name).map(unquoted).unwrap_or_default();
         let mut line = format!("{} {} {}", self.timestamp, text("event"), text("message"));
-        let others = self.fields.iter().filter(|(name, _)| !OWN_FIELDS.contains(&name.as_str()));
-        for (name, value) in others {
+        let other_fields =
+            self.fields.iter().filter(|(name, _)| !HEADER_FIELDS.contains(&name.as_str()));
+        for (name, value) in other_fields {
             // Writing to a string does not fail.
-            let _ = write!(line, " {name}={}", plain(value));
+            let _ = write!(line, " {name}={}", unquoted(value));
         }
         if !self.source.is_empty() {
             let _ = write!(line, " [{}]", self.source);
@@ -54,18 +55,18 @@
 }
 
 /// A value without the quotes of JSON text.
-fn plain(value: &Value) -> String {
+fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn parse(line: &str, request_id: &str) -> Option<StoryLine> {
-    let begin = line.find('{')?;
-    let Ok(Value::Object(fields)) = serde_json::from_str(&line[begin..]) else { return None };
+fn parse(line: &str, request_id: &str) -> Option<LogRecord> {
+    let start = line.find('{')?;
+    let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { return None };
     if fields.get("request_id")?.as_str()? != request_id {
         return None;
     }
-    let timestamp = fields.get("timestamp").map(plain).unwrap_or_default();
-    Some(StoryLine { timestamp, source: line[..begin].trim().to_owned(), fields })
+    let timestamp = fields.get("timestamp").map(unquoted).unwrap_or_default();
+    Some(LogRecord { timestamp, source: line[..start].trim().to_owned(), fields })
 }
 
 fn read(file: &str) -> Result<String, CommandError> {
--- a/crates/umberctl/tests/commands.rs
+++ b/crates/umberctl/tests/commands.rs
@@ -11,21 +11,25 @@
 struct CommandCase {
     name: &'static str,
     args: &'static [&'static str],
-    ok: bool,
+    succeeds: bool,
     /// Text its output (or error) must contain.
-    says: &'static str,
+    expected_text: &'static str,
 }
 
-const fn ok(name: &'static str, args: &'static [&'static str], says: &'static str) -> CommandCase {
-    CommandCase { name, args, ok: true, says }
+const fn succeeds(
+    name: &'static str,
+    args: &'static [&'static str],
+    expected_text: &'static str,
+) -> CommandCase {
+    CommandCase { name, args, succeeds: true, expected_text }
 }
 
-const fn refused(
+const fn fails(
     name: &'static str,
     args: &'static [&'static str],
-    says: &'static str,
+    expected_text: &'static str,
 ) -> CommandCase {
-    CommandCase { name, args, ok: false, says }
+    CommandCase { name, args, succeeds: false, expected_text }
 }
 
 fn umberctl(platform: &str, args: &[&str]) -> (bool, String) {
@@ -44,57 +48,61 @@
 /// change in between; drains, roles, organisations; a snapshot saved and
 /// restored. Each refusal names its cause and leaves things as they were.
 #[test]
-fn a_shift_works_with_umberctl() {
+fn operator_session_prints_expected_output() {
     pool::start(2);
     let site = pool::block_on(LocalSite::start(Duration::ZERO)).unwrap();
     let platform = site.platform.to_string();
     let cases = [
-        ok("nothing in force", &["status"], "no preset has been activated"),
-        ok("check", &["check", "peak.toml"], "valid"),
-        refused("no such file", &["check", "nope.toml"], "nope.toml"),
-        refused("not a preset", &["check", "../Cargo.toml"], "does not parse"),
-        ok("put", &["put", "ordinary", "ordinary.toml", "--expect-version", "0"], "version 1"),
-        ok("put", &["put", "peak", "peak.toml", "--expect-version", "0"], "version 1"),
-        refused(
+        succeeds("nothing in force", &["status"], "no preset has been activated"),
+        succeeds("check", &["check", "peak.toml"], "valid"),
+        fails("no such file", &["check", "nope.toml"], "nope.toml"),
+        fails("not a preset", &["check", "../Cargo.toml"], "does not parse"),
+        succeeds(
+            "put",
+            &["put", "ordinary", "ordinary.toml", "--expect-version", "0"],
+            "version 1",
+        ),
+        succeeds("put", &["put", "peak", "peak.toml", "--expect-version", "0"], "version 1"),
+        fails(
             "put over another's",
             &["put", "peak", "ordinary.toml", "--expect-version", "0"],
             "changed meanwhile (now at version 1)",
         ),
-        ok("list", &["list"], "ordinary\tversion 1"),
-        ok("show", &["show", "peak"], "max_in_flight"),
-        refused("show unknown", &["show", "nope"], "no preset named `nope`"),
-        ok("activate", &["activate", "ordinary", "--expect-active", "0"], "version 1"),
-        refused(
+        succeeds("list", &["list"], "ordinary\tversion 1"),
+        succeeds("show", &["show", "peak"], "max_in_flight"),
+        fails("show unknown", &["show", "nope"], "no preset named `nope`"),
+        succeeds("activate", &["activate", "ordinary", "--expect-active", "0"], "version 1"),
+        fails(
             "activate on an old view",
             &["activate", "peak", "--expect-active", "0"],
             "changed meanwhile",
         ),
-        ok("still ordinary", &["status"], "in force: ordinary"),
-        ok("by whom", &["status"], "night-shift/test"),
-        ok("organisation", &["org", "north", "--key", "k1", "--key", "k2"], "north set"),
-        ok("drain", &["drain", "d1"], "d1 drained"),
-        ok("undrain", &["undrain", "d1"], "d1 back"),
-        ok("role", &["role", "d1", "prefill"], "d1 is to serve prefill"),
-        refused("bad role", &["role", "d1", "plain"], "must be prefill or decode"),
-        ok("members, none", &["members"], ""),
-        ok("save", &["snapshot", "save", "before/peak"], "saved"),
-        ok("list snapshots", &["snapshot", "list"], "before/peak"),
-        ok("activate peak", &["activate", "peak", "--expect-active", "1"], "version 2"),
-        ok("restore", &["snapshot", "restore", "before/peak"], "1 rows written"),
-        ok("forward, not back", &["status"], "active version 3"),
-        ok("ordinary again", &["status"], "in force: ordinary"),
-        refused("no such snapshot", &["snapshot", "restore", "nope"], "no snapshot named"),
+        succeeds("still ordinary", &["status"], "in force: ordinary"),
+        succeeds("by whom", &["status"], "night-shift/test"),
+        succeeds("organisation", &["org", "north", "--key", "k1", "--key", "k2"], "north set"),
+        succeeds("drain", &["drain", "d1"], "d1 drained"),
+        succeeds("undrain", &["undrain", "d1"], "d1 back"),
+        succeeds("role", &["role", "d1", "prefill"], "d1 is to serve prefill"),
+        fails("bad role", &["role", "d1", "plain"], "must be prefill or decode"),
+        succeeds("members, none", &["members"], ""),
+        succeeds("save", &["snapshot", "save", "before/peak"], "saved"),
+        succeeds("list snapshots", &["snapshot", "list"], "before/peak"),
+        succeeds("activate peak", &["activate", "peak", "--expect-active", "1"], "version 2"),
+        succeeds("restore", &["snapshot", "restore", "before/peak"], "1 rows written"),
+        succeeds("forward, not back", &["status"], "active version 3"),
+        succeeds("ordinary again", &["status"], "in force: ordinary"),
+        fails("no such snapshot", &["snapshot", "restore", "nope"], "no snapshot named"),
     ];
     for case in &cases {
         let (succeeded, text) = umberctl(&platform, case.args);
-        assert_eq!(succeeded, case.ok, "{}: {text}", case.name);
-        assert!(text.contains(case.says), "{}: {text}", case.name);
+        assert_eq!(succeeded, case.succeeds, "{}: {text}", case.name);
+        assert!(text.contains(case.expected_text), "{}: {text}", case.name);
     }
 }
 
 /// The platform is not there: a clear error that names step and peer.
 #[test]
-fn an_unreachable_platform_is_named() {
+fn unreachable_platform_error_names_step_and_address() {
     let (succeeded, text) = umberctl("127.0.0.1:1", &["status"]);
     assert!(!succeeded);
     assert!(text.contains("read active preset") && text.contains("127.0.0.1:1"), "{text}");
--- a/crates/umberctl/tests/explain.rs
+++ b/crates/umberctl/tests/explain.rs
@@ -2,15 +2,15 @@
 
 use std::process::Command;
 
-const FIRST: &str = r#"   3.1 gw-a {"timestamp":"2026-01-01T00:00:03.1Z","level":"INFO","message":"placed","event":5003,"request_id":"r1","server":"i-1","own":2}
+const FIRST_LOG: &str = r#"   3.1 gw-a {"timestamp":"2026-01-01T00:00:03.1Z","level":"INFO","message":"placed","event":5003,"request_id":"r1","server":"i-1","own":2}
 not a line of ours
    3.2 gw-a {"timestamp":"2026-01-01T00:00:03.2Z","level":"INFO","message":"placed","event":5003,"request_id":"r2","server":"i-9"}
 "#;
-const SECOND: &str = r#"{"timestamp":"2026-01-01T00:00:03.0Z","level":"INFO","message":"refused","event":5002,"request_id":"r1","reason":"no_room"}
+const SECOND_LOG: &str = r#"{"timestamp":"2026-01-01T00:00:03.0Z","level":"INFO","message":"refused","event":5002,"request_id":"r1","reason":"no_room"}
 "#;
 
 #[test]
-fn stories() {
+fn merges_log_lines_of_one_request() {
     struct Case {
         request: &'static str,
         expected: &'static str,
@@ -34,8 +34,8 @@
     let folder = std::env::temp_dir().join(format!("umberctl-explain-{}", std::process::id()));
     std::fs::create_dir_all(&folder).expect("a temporary folder");
     let (first, second) = (folder.join("a.log"), folder.join("b.log"));
-    std::fs::write(&first, FIRST).expect("writing a log");
-    std::fs::write(&second, SECOND).expect("writing a log");
+    std::fs::write(&first, FIRST_LOG).expect("writing a log");
+    std::fs::write(&second, SECOND_LOG).expect("writing a log");
     for case in cases {
         let output = Command::new(env!("CARGO_BIN_EXE_umberctl"))
             .args(["explain", case.request])
--- a/crates/umberglade/src/experiment.rs
+++ b/crates/umberglade/src/experiment.rs
@@ -22,7 +22,7 @@
 
 /// Runs the experiment and writes its files.
 pub fn run(args: ExperimentArgs) -> Result<(), StartError> {
-    logging::init_quiet();
+    logging::init_errors_only();
     let mut workload = read_workload(&args.workload)?;
     if let Some(scale) = args.scale {
         workload.scales = vec![scale];
--- a/crates/umberglade/src/gateway.rs
+++ b/crates/umberglade/src/gateway.rs
@@ -36,7 +36,7 @@
         DEFAULT_LOG_LINES,
         1..=1_000_000,
     )?;
-    let _flush = logging::init_json(lines);
+    let _log_guard = logging::init_json(lines);
     let threads = setting::resolve_within(
         "threads",
         "UMBERGLADE_THREADS",
--- a/crates/umberglade/src/latency.rs
+++ b/crates/umberglade/src/latency.rs
@@ -1,7 +1,7 @@
 //! `umberglade latency`: what the router adds to a request.
 
 use umberglade_bench::latency;
-use umberglade_bench::latency::WayTimes;
+use umberglade_bench::latency::PathLatencies;
 use umberglade_wire::pool;
 
 use crate::cli::LatencyArgs;
@@ -15,12 +15,12 @@
 
 /// Measures and prints both ways and their ratio.
 pub fn run(args: LatencyArgs) -> Result<(), StartError> {
-    logging::init_quiet();
+    logging::init_errors_only();
     pool::start(LATENCY_THREADS);
     let report = pool::block_on(latency::measure(args.requests.clamp(1, MAX_REQUESTS)))
         .map_err(|error| StartError::Failed { message: error.to_string() })?;
-    print_way("direct", &report.direct);
-    print_way("routed", &report.routed);
+    print_path("direct", &report.direct);
+    print_path("routed", &report.routed);
     println!(
         "ratio   first token {:.3}  whole answer {:.3}  ({} requests each way)",
         report.first_token_ratio, report.whole_ratio, report.requests
@@ -28,7 +28,7 @@
     Ok(())
 }
 
-fn print_way(name: &str, times: &WayTimes) {
+fn print_path(name: &str, times: &PathLatencies) {
     println!(
         "{name:<7} first token p50 {:.2} ms p95 {:.2} ms  whole answer p50 {:.2} ms p95 {:.2} ms",
         times.first_token_p50, times.first_token_p95, times.whole_p50, times.whole_p95
--- a/crates/umberglade/src/load.rs
+++ b/crates/umberglade/src/load.rs
@@ -45,8 +45,8 @@
     StartError::Setting { flag: "workload", env: "-", problem: format!("{path}: {error}") }
 }
 
-fn require(flag: &'static str, holds: bool, problem: &str) -> Result<(), StartError> {
-    if holds {
+fn require(flag: &'static str, condition: bool, problem: &str) -> Result<(), StartError> {
+    if condition {
         return Ok(());
     }
     Err(StartError::Setting { flag, env: "-", problem: problem.to_owned() })
--- a/crates/umberglade/src/line_limit.rs
+++ b/crates/umberglade/src/log_rate_limit.rs
@@ -14,12 +14,12 @@
 const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
-struct LineCount {
-    begun: Instant,
+struct WindowCounts {
+    started_at: Instant,
     written: u32,
     dropped: u64,
     /// Lines lost behind this limit up to the window's beginning.
-    overflowed: u64,
+    queue_dropped: u64,
     /// Lines dropped up to the window's beginning, since the start: told
     /// each time, because the line that tells may itself be lost.
     total: u64,
@@ -32,21 +32,26 @@
 /// sent. Each window that dropped lines is followed by one line that says
 /// how many, and a counter adds them up.
 #[derive(Debug)]
-pub struct LineLimit<W> {
+pub struct LogRateLimit<W> {
     inner: W,
     per_window: u32,
     /// Lines that found the queue behind `inner` full.
-    overflow: ErrorCounter,
-    count: Mutex<LineCount>,
+    queue_drops: ErrorCounter,
+    count: Mutex<WindowCounts>,
 }
 
-impl<W> LineLimit<W> {
+impl<W> LogRateLimit<W> {
     /// A limit of `lines_per_s` on what is written to `inner`, whose own
     /// losses `overflow` counts.
-    pub fn new(inner: W, overflow: ErrorCounter, lines_per_s: u32) -> Self {
-        let count =
-            LineCount { begun: Instant::now(), written: 0, dropped: 0, overflowed: 0, total: 0 };
-        LineLimit { inner, per_window: lines_per_s, overflow, count: Mutex::new(count) }
+    pub fn new(inner: W, queue_drops: ErrorCounter, lines_per_s: u32) -> Self {
+        let count = WindowCounts {
+            started_at: Instant::now(),
+            written: 0,
+            dropped: 0,
+            queue_dropped: 0,
+            total: 0,
+        };
+        LogRateLimit { inner, per_window: lines_per_s, queue_drops, count: Mutex::new(count) }
     }
 
     /// Whether one more line may be written, and how many were dropped in
@@ -55,13 +60,19 @@
     fn admit(&self) -> (bool, u64, u64) {
         let mut count = self.count.lock().expect("line count lock");
         let mut dropped = 0;
-        if count.begun.elapsed() >= WINDOW {
-            let overflowed = self.overflow.dropped_lines() as u64;
-            let lost = overflowed.saturating_sub(count.overflowed);
-            metrics::counter!("umberglade_log_lines_dropped_total").increment(lost);
-            dropped = count.dropped + lost;
+        if count.started_at.elapsed() >= WINDOW {
+            let queue_dropped = self.queue_drops.dropped_lines() as u64;
+            let new_queue_drops = queue_dropped.saturating_sub(count.queue_dropped);
+            metrics::counter!("umberglade_log_lines_dropped_total").increment(new_queue_drops);
+            dropped = count.dropped + new_queue_drops;
             let total = count.total + dropped;
-            *count = LineCount { begun: Instant::now(), written: 0, dropped: 0, overflowed, total };
+            *count = WindowCounts {
+                started_at: Instant::now(),
+                written: 0,
+                dropped: 0,
+                queue_dropped,
+                total,
+            };
         }
         count.written += 1;
         let is_admitted = count.written <= self.per_window;
@@ -75,9 +86,9 @@
 
 /// One line's writer; `None` when the line is dropped.
 #[derive(Debug)]
-pub struct LimitedLine<W>(Option<W>);
+pub struct LineWriter<W>(Option<W>);
 
-impl<W: Write> Write for LimitedLine<W> {
+impl<W: Write> Write for LineWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.as_mut().map_or(Ok(bytes.len()), |inner| inner.write(bytes))
     }
@@ -87,8 +98,8 @@
     }
 }
 
-impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for LineLimit<W> {
-    type Writer = LimitedLine<W::Writer>;
+impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for LogRateLimit<W> {
+    type Writer = LineWriter<W::Writer>;
 
     fn make_writer(&'a self) -> Self::Writer {
         let (is_admitted, dropped, total) = self.admit();
@@ -100,6 +111,6 @@
             // A log that can't be written has no place to say so.
             let _ = self.inner.make_writer().write_all(line.as_bytes());
         }
-        LimitedLine(is_admitted.then(|| self.inner.make_writer()))
+        LineWriter(is_admitted.then(|| self.inner.make_writer()))
     }
 }
--- a/crates/umberglade/src/logging.rs
+++ b/crates/umberglade/src/logging.rs
@@ -6,7 +6,7 @@
 use tracing_appender::non_blocking::WorkerGuard;
 use tracing_subscriber::EnvFilter;
 
-use crate::line_limit::LineLimit;
+use crate::log_rate_limit::LogRateLimit;
 use crate::setting;
 use crate::setting::StartError;
 
@@ -40,14 +40,14 @@
 
 /// Installs a subscriber for tools: only errors, unless `UMBERGLADE_LOG`
 /// asks for more.
-pub fn init_quiet() {
+pub fn init_errors_only() {
     let filter =
         EnvFilter::try_from_env("UMBERGLADE_LOG").unwrap_or_else(|_| EnvFilter::new("error"));
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
 }
 
 /// Lines that wait for a slow reader of standard output; more are dropped.
-const LINES_BUFFERED: usize = 2048;
+const MAX_QUEUED_LINES: usize = 2048;
 
 /// Installs JSON lines on standard output that never block: a thread writes
 /// them, a bounded queue feeds it, and lines beyond `lines_per_s` a second
@@ -56,9 +56,9 @@
 pub fn init_json(lines_per_s: u32) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
-        .buffered_lines_limit(LINES_BUFFERED)
+        .buffered_lines_limit(MAX_QUEUED_LINES)
         .finish(std::io::stdout());
-    let overflow = writer.error_counter();
+    let queue_drops = writer.error_counter();
     let filter = EnvFilter::try_from_env("UMBERGLADE_LOG")
         .unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     tracing_subscriber::fmt()
@@ -67,7 +67,7 @@
         .flatten_event(true)
         .with_current_span(false)
         .with_target(false)
-        .with_writer(LineLimit::new(writer, overflow, lines_per_s))
+        .with_writer(LogRateLimit::new(writer, queue_drops, lines_per_s))
         .init();
     guard
 }
--- a/crates/umberglade/src/setting.rs
+++ b/crates/umberglade/src/setting.rs
@@ -28,14 +28,14 @@
 pub fn resolve<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<T>,
+    flag_value: Option<T>,
     default: Option<T>,
 ) -> Result<T, StartError>
 where
     T: FromStr,
     T::Err: Display,
 {
-    if let Some(value) = given {
+    if let Some(value) = flag_value {
         return Ok(value);
     }
     match std::env::var(env) {
@@ -54,7 +54,7 @@
 pub fn resolve_within<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<T>,
+    flag_value: Option<T>,
     default: T,
     range: RangeInclusive<T>,
 ) -> Result<T, StartError>
@@ -62,7 +62,7 @@
     T: FromStr + Display + PartialOrd,
     T::Err: Display,
 {
-    let value = resolve(flag, env, given, Some(default))?;
+    let value = resolve(flag, env, flag_value, Some(default))?;
     if range.contains(&value) {
         return Ok(value);
     }
@@ -74,14 +74,14 @@
 pub fn resolve_parsed<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<String>,
+    flag_value: Option<String>,
     default: &str,
 ) -> Result<T, StartError>
 where
     T: FromStr,
     T::Err: Display,
 {
-    let text = resolve(flag, env, given, Some(default.to_owned()))?;
+    let text = resolve(flag, env, flag_value, Some(default.to_owned()))?;
     text.parse().map_err(|error: T::Err| StartError::Setting {
         flag,
         env,
--- a/crates/umberglade/tests/at_most_once.rs
+++ b/crates/umberglade/tests/at_most_once.rs
@@ -11,7 +11,7 @@
 use umberglade_wire::plain::PlainStats;
 use umberglade_wire::platform::FaultPlan;
 
-use support::CallerAnswer;
+use support::CallerResponse;
 use support::Process;
 use support::Site;
 use support::eventually;
@@ -37,7 +37,7 @@
     (site, desk)
 }
 
-fn book(daemon: &str, key: Option<&str>) -> CallerAnswer {
+fn book(daemon: &str, key: Option<&str>) -> CallerResponse {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let mut request = agent
@@ -52,7 +52,7 @@
     let retry_after =
         response.headers().get("retry-after").map(|value| value.to_str().unwrap().to_owned());
     let status = response.status().as_u16();
-    CallerAnswer { status, retry_after, body: response.body_mut().read_to_string().unwrap() }
+    CallerResponse { status, retry_after, body: response.body_mut().read_to_string().unwrap() }
 }
 
 fn desk_stats(desk: &str) -> PlainStats {
@@ -76,7 +76,7 @@
 /// replies to the idempotency record's writes. The slot must be booked
 /// once, and every answer must carry that one booking.
 #[test]
-fn a_booking_runs_at_most_once_whatever_the_retries() {
+fn booking_runs_at_most_once_under_retries() {
     let cases = [
         RetryCase {
             name: "retry after the answer",
@@ -105,30 +105,30 @@
             set_faults(&site.platform.addr, &plan);
         }
         let key = format!("booking-{}", case.name.replace(' ', "-"));
-        let mut answers: Vec<CallerAnswer> =
+        let mut responses: Vec<CallerResponse> =
             (0..case.sequential).map(|_| book(&site.daemon.addr, Some(&key))).collect();
-        let racers: Vec<_> = (0..case.concurrent)
+        let concurrent_calls: Vec<_> = (0..case.concurrent)
             .map(|_| {
                 let daemon = site.daemon.addr.clone();
                 let key = key.clone();
                 thread::spawn(move || book(&daemon, Some(&key)))
             })
             .collect();
-        answers.extend(racers.into_iter().map(|racer| racer.join().unwrap()));
+        responses.extend(concurrent_calls.into_iter().map(|call| call.join().unwrap()));
         let stats = desk_stats(&desk.addr);
         assert_eq!(stats.most_runs_of_one_key, 1, "{}: ran {stats:?}", case.name);
-        let booked: Vec<&CallerAnswer> =
-            answers.iter().filter(|answer| answer.status == 200).collect();
+        let booked: Vec<&CallerResponse> =
+            responses.iter().filter(|response| response.status == 200).collect();
         assert!(!booked.is_empty(), "{}: nobody got the booking", case.name);
         assert!(
-            booked.iter().all(|answer| answer.body == booked[0].body),
+            booked.iter().all(|response| response.body == booked[0].body),
             "{}: answers differ",
             case.name
         );
-        for answer in answers.iter().filter(|answer| answer.status != 200) {
-            assert_eq!(answer.status, 409, "{}: {}", case.name, answer.body);
+        for response in responses.iter().filter(|response| response.status != 200) {
+            assert_eq!(response.status, 409, "{}: {}", case.name, response.body);
             assert!(
-                answer.retry_after.is_some(),
+                response.retry_after.is_some(),
                 "{}: a refusal says when to come back",
                 case.name
             );
@@ -140,11 +140,11 @@
 /// A call to a plain service without an Idempotency-Key is refused before
 /// anything runs: the daemon could not make a retry safe.
 #[test]
-fn a_call_without_an_idempotency_key_is_refused_and_not_run() {
+fn call_without_idempotency_key_is_rejected_and_not_run() {
     let (site, desk) = site_with_booking_desk();
-    let answer = book(&site.daemon.addr, None);
-    assert_eq!(answer.status, 400, "{}", answer.body);
-    assert!(answer.body.contains("Idempotency-Key"), "{}", answer.body);
+    let response = book(&site.daemon.addr, None);
+    assert_eq!(response.status, 400, "{}", response.body);
+    assert!(response.body.contains("Idempotency-Key"), "{}", response.body);
     assert_eq!(desk_stats(&desk.addr).executions, 0);
 }
 
@@ -165,7 +165,7 @@
 /// and never answers. The client then asks again with the same key. Only
 /// the refused call may run now; the others ran, and must not again.
 #[test]
-fn a_call_the_service_may_have_run_is_never_run_again() {
+fn call_that_may_have_run_is_not_run_again() {
     let cases = [
         ServiceCase {
             name: "refused",
@@ -219,7 +219,7 @@
 /// key: the orphaned claim must not stand in its way, and the booking runs
 /// exactly once.
 #[test]
-fn a_claim_orphaned_by_an_outage_does_not_block_the_key() {
+fn orphaned_claim_does_not_block_its_key() {
     let (site, desk) = site_with_booking_desk();
     let platform = site.platform.addr.clone();
     let lost = FaultPlan { lose_reply_percent: 100, ..FaultPlan::default() };
@@ -228,9 +228,9 @@
     let caller = thread::spawn(move || book(&daemon, Some("orphan")));
     thread::sleep(Duration::from_millis(500));
     set_faults(&platform, &FaultPlan { outage: true, ..lost });
-    let refused = caller.join().unwrap();
-    assert_eq!(refused.status, 503, "{}", refused.body);
-    assert!(refused.body.contains("not run"), "{}", refused.body);
+    let rejected = caller.join().unwrap();
+    assert_eq!(rejected.status, 503, "{}", rejected.body);
+    assert!(rejected.body.contains("not run"), "{}", rejected.body);
     assert_eq!(desk_stats(&desk.addr).executions, 0);
     set_faults(&platform, &FaultPlan::default());
     let mut last = 0;
@@ -245,7 +245,7 @@
 /// A lookup may be repeated: when one of two desks is down, every lookup
 /// is still answered, by the other.
 #[test]
-fn lookups_are_answered_by_another_server_when_one_fails() {
+fn lookups_fail_over_to_another_server() {
     let (site, desk) = site_with_booking_desk();
     let args = ["standin", "plain", "--server", "desk-2", "--service", "booking-desk"];
     let second = Process::start(&[&args[..], &["--register-with", &site.platform.addr]].concat());
@@ -267,7 +267,7 @@
 /// that holds the duty clears away those past their retention, and leaves
 /// the newer ones: a retry of a recent booking still gets its answer.
 #[test]
-fn records_past_their_retention_are_cleared_away() {
+fn expired_idempotency_records_are_removed() {
     let platform = support::start_platform("0");
     let desk = ["standin", "plain", "--server", "desk-1", "--register-with", &platform.addr];
     let desk = Process::start(&desk);
--- a/crates/umberglade/tests/callers_gone.rs
+++ b/crates/umberglade/tests/caller_disconnects.rs
@@ -15,10 +15,10 @@
 use support::raw_request;
 
 /// How soon after the end the engines must hold nothing.
-const FREED_WITHIN: Duration = Duration::from_secs(2);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// One way for a caller to be gone.
-struct GoneCase {
+struct DisconnectCase {
     name: &'static str,
     prefill_faults: EngineFaults,
     decode_faults: EngineFaults,
@@ -35,8 +35,8 @@
     Decode,
 }
 
-impl GoneCase {
-    const fn new(name: &'static str, held_at: HeldAt) -> GoneCase {
+impl DisconnectCase {
+    const fn new(name: &'static str, held_at: HeldAt) -> DisconnectCase {
         const NONE: EngineFaults = EngineFaults {
             down: false,
             cut_after_tokens: 0,
@@ -48,7 +48,7 @@
             ignores_hangup: false,
             late_order_ms: 0,
         };
-        GoneCase {
+        DisconnectCase {
             name,
             prefill_faults: NONE,
             decode_faults: NONE,
@@ -65,41 +65,47 @@
 /// that end work with its connection and at those that ignore it. Nobody
 /// will read the answer, so every engine must hold nothing within seconds.
 #[test]
-fn engines_hold_nothing_once_the_caller_is_gone() {
+fn engines_release_requests_after_disconnect() {
     let stalled = EngineFaults { stall_kv: true, ..EngineFaults::default() };
     let silent = EngineFaults { silent_after_tokens: 3, ..EngineFaults::default() };
-    let deaf = EngineFaults { ignores_hangup: true, ..EngineFaults::default() };
+    let ignores_hangup_faults = EngineFaults { ignores_hangup: true, ..EngineFaults::default() };
     let cases = [
-        GoneCase {
+        DisconnectCase {
             prompt_words: 200_000,
-            prefill_faults: deaf.clone(),
-            ..GoneCase::new("caller, mid-prefill, engine ignores it", HeldAt::Prefill)
+            prefill_faults: ignores_hangup_faults.clone(),
+            ..DisconnectCase::new("caller, mid-prefill, engine ignores it", HeldAt::Prefill)
         },
-        GoneCase {
-            decode_faults: deaf,
-            ..GoneCase::new("caller, mid-decode, engine ignores it", HeldAt::Decode)
+        DisconnectCase {
+            decode_faults: ignores_hangup_faults,
+            ..DisconnectCase::new("caller, mid-decode, engine ignores it", HeldAt::Decode)
         },
-        GoneCase { prompt_words: 40_000, ..GoneCase::new("caller, mid-prefill", HeldAt::Prefill) },
-        GoneCase {
+        DisconnectCase {
+            prompt_words: 40_000,
+            ..DisconnectCase::new("caller, mid-prefill", HeldAt::Prefill)
+        },
+        DisconnectCase {
             prefill_faults: stalled.clone(),
-            ..GoneCase::new("caller, mid-transfer", HeldAt::Decode)
+            ..DisconnectCase::new("caller, mid-transfer", HeldAt::Decode)
         },
-        GoneCase::new("caller, mid-decode", HeldAt::Decode),
-        GoneCase {
+        DisconnectCase::new("caller, mid-decode", HeldAt::Decode),
+        DisconnectCase {
             decode_faults: silent,
-            ..GoneCase::new("caller, silent stream", HeldAt::Decode)
+            ..DisconnectCase::new("caller, silent stream", HeldAt::Decode)
         },
-        GoneCase {
+        DisconnectCase {
             prompt_words: 40_000,
             kill_daemon: true,
-            ..GoneCase::new("daemon, mid-prefill", HeldAt::Prefill)
+            ..DisconnectCase::new("daemon, mid-prefill", HeldAt::Prefill)
         },
-        GoneCase {
+        DisconnectCase {
             prefill_faults: stalled,
             kill_daemon: true,
-            ..GoneCase::new("daemon, mid-transfer", HeldAt::Decode)
+            ..DisconnectCase::new("daemon, mid-transfer", HeldAt::Decode)
+        },
+        DisconnectCase {
+            kill_daemon: true,
+            ..DisconnectCase::new("daemon, mid-decode", HeldAt::Decode)
         },
-        GoneCase { kill_daemon: true, ..GoneCase::new("daemon, mid-decode", HeldAt::Decode) },
     ];
     for case in &cases {
         let mut site = Site::start(1, 1);
@@ -111,10 +117,10 @@
         let held = || engine_stats(holder).held_requests == 1;
         assert!(eventually(Duration::from_secs(2), held), "{}: never held", case.name);
         if case.kill_daemon {
-            site.daemon.stop();
+            site.daemon.kill();
         }
         drop(socket);
-        let freed = eventually(FREED_WITHIN, || {
+        let freed = eventually(RELEASE_TIMEOUT, || {
             engines.iter().all(|engine| {
                 let stats = engine_stats(engine);
                 stats.held_requests == 0 && stats.held_exports == 0
@@ -129,7 +135,7 @@
 /// is ever cancelled. The decode server frees the request on its own when
 /// the deadline the order carried has passed.
 #[test]
-fn a_frozen_daemon_holds_engine_memory_no_longer_than_the_deadline() {
+fn engines_release_requests_of_a_paused_daemon_at_the_deadline() {
     let site = Site::start(1, 1);
     let short = std::fs::read_to_string(format!(
         "{}/../../presets/ordinary.toml",
@@ -142,15 +148,15 @@
         actions.put_preset("short", &short, 0).await.unwrap();
         actions.activate("short", 1).await.unwrap();
     });
-    let in_force = || support::status(&site.daemon.addr).unwrap()["fence"] == 2;
-    assert!(eventually(Duration::from_secs(3), in_force));
+    let is_applied = || support::status(&site.daemon.addr).unwrap()["fence"] == 2;
+    assert!(eventually(Duration::from_secs(3), is_applied));
     let silent = EngineFaults { silent_after_tokens: 3, ..EngineFaults::default() };
     let decode = &site.decode_engine(1, 0).addr;
     engine_faults(decode, &silent);
     let _socket = raw_request(&site.daemon.addr, &chat(20, 500));
     assert!(eventually(Duration::from_secs(2), || engine_stats(decode).held_requests == 1));
-    site.daemon.freeze();
+    site.daemon.pause();
     let freed = eventually(Duration::from_secs(4), || engine_stats(decode).held_requests == 0);
-    site.daemon.thaw();
+    site.daemon.resume();
     assert!(freed, "held past its deadline: {:?}", engine_stats(decode));
 }
--- a/crates/umberglade/tests/whole_path.rs
+++ b/crates/umberglade/tests/end_to_end.rs
@@ -16,7 +16,7 @@
 use support::sse_text;
 
 /// The text a caller must receive for `messages` and `max_tokens`.
-fn expected_answer(messages: &[ChatMessage], max_tokens: u32) -> String {
+fn expected_response(messages: &[ChatMessage], max_tokens: u32) -> String {
     let seed = chat_shape(messages).digest;
     (0..max_tokens).map(|index| answer_token(seed, index)).collect()
 }
@@ -29,7 +29,7 @@
 /// Many callers of two organisations at once, streaming and not: each
 /// gets the whole answer to its own prompt, and nobody else's.
 #[test]
-fn each_caller_gets_its_own_whole_answer() {
+fn each_caller_gets_its_own_complete_response() {
     let site = Site::start(2, 2);
     let daemon = site.daemon.addr.clone();
     let callers: Vec<_> = (0..12)
@@ -46,32 +46,32 @@
                 ];
                 let stream = index % 3 != 0;
                 let max_tokens = 5 + index as u32;
-                let answer = post(
+                let response = post(
                     &daemon,
                     "/v1/chat/completions",
                     key,
                     &chat_body(&messages, max_tokens, stream),
                 );
-                (answer, expected_answer(&messages, max_tokens), stream)
+                (response, expected_response(&messages, max_tokens), stream)
             })
         })
         .collect();
     for caller in callers {
-        let (answer, expected, stream) = caller.join().expect("a caller thread");
-        assert_eq!(answer.status, 200, "body: {}", answer.body);
+        let (response, expected, stream) = caller.join().expect("a caller thread");
+        assert_eq!(response.status, 200, "body: {}", response.body);
         if stream {
-            let (text, done) = sse_text(&answer.body);
-            assert!(done, "stream must end in [DONE]: {}", answer.body);
+            let (text, done) = sse_text(&response.body);
+            assert!(done, "stream must end in [DONE]: {}", response.body);
             assert_eq!(text, expected);
         } else {
-            let whole: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
+            let whole: serde_json::Value = serde_json::from_str(&response.body).unwrap();
             assert_eq!(whole["choices"][0]["message"]["content"], expected.as_str());
         }
     }
 }
 
 /// One case of a request the daemon must refuse, and how.
-struct RefusalCase {
+struct RejectionCase {
     name: &'static str,
     path: &'static str,
     key: &'static str,
@@ -80,71 +80,71 @@
     /// Whether the refusal tells the caller when to come back.
     retry_after: bool,
     /// Text the error message must contain.
-    says: &'static str,
+    expected_text: &'static str,
 }
 
 /// Bad input gets a clear error, and the daemon keeps serving afterwards.
 #[test]
-fn bad_requests_get_clear_refusals() {
+fn invalid_requests_get_clear_errors() {
     let cases = [
-        RefusalCase {
+        RejectionCase {
             name: "unknown key",
             path: "/v1/chat/completions",
             key: "nope",
             body: "{}",
             status: 401,
             retry_after: false,
-            says: "API key",
+            expected_text: "API key",
         },
-        RefusalCase {
+        RejectionCase {
             name: "not JSON",
             path: "/v1/chat/completions",
             key: "key-neulanjalki",
             body: "{",
             status: 400,
             retry_after: false,
-            says: "request body",
+            expected_text: "request body",
         },
-        RefusalCase {
+        RejectionCase {
             name: "no messages",
             path: "/v1/chat/completions",
             key: "key-neulanjalki",
             body: r#"{"model":"brief-model","messages":[]}"#,
             status: 400,
             retry_after: false,
-            says: "messages",
+            expected_text: "messages",
         },
-        RefusalCase {
+        RejectionCase {
             name: "zero max_tokens",
             path: "/v1/completions",
             key: "key-glenmorrow",
             body: r#"{"model":"brief-model","prompt":"x","max_tokens":0}"#,
             status: 400,
             retry_after: false,
-            says: "max_tokens",
+            expected_text: "max_tokens",
         },
-        RefusalCase {
+        RejectionCase {
             name: "unknown model",
             path: "/v1/completions",
             key: "key-glenmorrow",
             body: r#"{"model":"nope","prompt":"x"}"#,
             status: 503,
             retry_after: true,
-            says: "not run",
+            expected_text: "not run",
         },
     ];
     let site = Site::start(1, 1);
     for case in &cases {
-        let answer = post(&site.daemon.addr, case.path, case.key, case.body);
-        assert_eq!(answer.status, case.status, "{}: {}", case.name, answer.body);
-        assert_eq!(answer.retry_after.is_some(), case.retry_after, "{}: Retry-After", case.name);
-        assert!(answer.body.contains(case.says), "{}: {}", case.name, answer.body);
+        let response = post(&site.daemon.addr, case.path, case.key, case.body);
+        assert_eq!(response.status, case.status, "{}: {}", case.name, response.body);
+        assert_eq!(response.retry_after.is_some(), case.retry_after, "{}: Retry-After", case.name);
+        assert!(response.body.contains(case.expected_text), "{}: {}", case.name, response.body);
     }
-    let answer = post(
+    let response = post(
         &site.daemon.addr,
         "/v1/completions",
         "key-glenmorrow",
         r#"{"model":"brief-model","prompt":"gate code?","max_tokens":3}"#,
     );
-    assert_eq!(answer.status, 200, "still serving: {}", answer.body);
+    assert_eq!(response.status, 200, "still serving: {}", response.body);
 }
--- a/crates/umberglade/tests/gateway_process.rs
+++ b/crates/umberglade/tests/gateway_process.rs
@@ -23,7 +23,7 @@
 use umberglade_wire::pool;
 
 /// Longer than anything here takes: tells a hang from an answer.
-const HANG: Duration = Duration::from_secs(20);
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A gateway and its standard output; killed when dropped.
 struct Gateway {
@@ -49,7 +49,7 @@
     fn start(name: &str, store: &str, log_lines: &str) -> Gateway {
         let file = format!("umberglade-node-{}-{name}.yaml", std::process::id());
         let node_file = std::env::temp_dir().join(file);
-        std::fs::write(&node_file, node_text(store)).expect("writing the settings file");
+        std::fs::write(&node_file, settings_text(store)).expect("writing the settings file");
         let mut child = Command::new(env!("CARGO_BIN_EXE_umberglade"))
             .args(["gateway", "--log-lines", log_lines, "--metrics-port", "0"])
             .env("UMBERGLADE_NODE_FILE", &node_file)
@@ -59,15 +59,15 @@
         let lines = BufReader::new(child.stdout.take().expect("piped stdout"));
         let (front, metrics) = (String::new(), String::new());
         let mut gateway = Gateway { child, lines, front, metrics, node_file };
-        let started = gateway.event(7001);
+        let started = gateway.next_event(7001);
         gateway.front = started["front"].as_str().expect("an address").to_owned();
         gateway.metrics = started["metrics"].as_str().expect("an address").to_owned();
         gateway
     }
 
     /// The next line of event `number`.
-    fn event(&mut self, number: u64) -> serde_json::Value {
-        let deadline = Instant::now() + HANG;
+    fn next_event(&mut self, number: u64) -> serde_json::Value {
+        let deadline = Instant::now() + HANG_TIMEOUT;
         let mut line = String::new();
         loop {
             assert!(Instant::now() < deadline, "no event {number}");
@@ -102,7 +102,7 @@
     }
 }
 
-fn node_text(store: &str) -> String {
+fn settings_text(store: &str) -> String {
     format!(
         "nodeName: gw\nip: 127.0.0.1\nzone: z1\nlisten:\n  front: 127.0.0.1:0\n  ready: \
          127.0.0.2:0\ninternalPorts: [0]\nbounds:\n  configApplyMs: 2000\n  drainMs: 2000\n  \
@@ -114,18 +114,18 @@
 fn agent() -> ureq::Agent {
     let config = ureq::Agent::config_builder()
         .http_status_as_error(false)
-        .timeout_global(Some(HANG))
+        .timeout_global(Some(HANG_TIMEOUT))
         .build();
     ureq::Agent::new_with_config(config)
 }
 
 /// A site served by a thread of this process; its store's address.
 fn start_site() -> String {
-    start_site_of(ServerOptions::default())
+    start_site_with(ServerOptions::default())
 }
 
 /// Like [`start_site`], with servers set up by `options`.
-fn start_site_of(options: ServerOptions) -> String {
+fn start_site_with(options: ServerOptions) -> String {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
         pool::block_on(async move {
@@ -134,14 +134,14 @@
             std::future::pending::<()>().await;
         });
     });
-    receiver.recv_timeout(HANG).expect("a started site")
+    receiver.recv_timeout(HANG_TIMEOUT).expect("a started site")
 }
 
 /// Whoever reads the log stops reading, and the pipe fills. Requests must be
 /// answered as before: lines are dropped instead, and the log says so once
 /// it is read again.
 #[test]
-fn a_log_that_nobody_reads_holds_up_no_request() {
+fn unread_log_does_not_block_requests() {
     let store = start_site();
     let mut gateway = Gateway::start("stalled", &store, "100000");
     // 6,000 lines of some 450 bytes: more than twice what a pipe and the
@@ -164,15 +164,15 @@
     }
     thread::sleep(Duration::from_millis(1100));
     assert_eq!(gateway.call(&agent(), "/safe/x", "after"), 200);
-    assert!(gateway.event(7006)["total"].as_u64() >= Some(1000));
+    assert!(gateway.next_event(7006)["total"].as_u64() >= Some(1000));
     gateway.signal("-TERM");
-    assert_eq!(gateway.event(7003)["in_flight"], 0);
+    assert_eq!(gateway.next_event(7003)["in_flight"], 0);
 }
 
 /// More lines come than may be written a second: the rest is dropped, and
 /// one line says how many.
 #[test]
-fn lines_beyond_the_limit_are_counted() {
+fn log_lines_beyond_the_limit_are_counted() {
     let store = start_site();
     let mut gateway = Gateway::start("limited", &store, "20");
     let agent = agent();
@@ -184,7 +184,7 @@
         }
         thread::sleep(Duration::from_millis(1100));
         gateway.call(&agent, "/safe/x", "last");
-        let line = gateway.event(7006);
+        let line = gateway.next_event(7006);
         dropped += line["dropped"].as_u64().expect("a number");
         total = line["total"].as_u64().expect("a number");
         assert_eq!(dropped, total, "each is counted once");
@@ -194,33 +194,33 @@
 /// The settings file changes to something that can't be used. A process that
 /// took it, or ended, would cut callers for an operator's typing error.
 #[test]
-fn a_bad_settings_file_changes_nothing_at_reload() {
+fn invalid_settings_file_is_ignored_at_reload() {
     let store = start_site();
     let mut gateway = Gateway::start("reload", &store, "400");
     let agent = agent();
     std::fs::write(&gateway.node_file, "nodeName: [").expect("writing the settings file");
     gateway.signal("-HUP");
-    gateway.event(7005);
+    gateway.next_event(7005);
     assert_eq!(gateway.call(&agent, "/once/x", "after"), 200);
-    std::fs::write(&gateway.node_file, node_text(&store)).expect("writing the settings file");
+    std::fs::write(&gateway.node_file, settings_text(&store)).expect("writing the settings file");
     gateway.signal("-HUP");
-    gateway.event(7004);
+    gateway.next_event(7004);
     gateway.signal("-TERM");
-    assert_eq!(gateway.event(7003)["in_flight"], 0);
+    assert_eq!(gateway.next_event(7003)["in_flight"], 0);
     assert!(gateway.child.wait().expect("an ended process").success());
 }
 
 #[test]
-fn starts_that_fail_name_the_cause() {
+fn failed_start_names_the_cause() {
     struct Case {
         name: &'static str,
         file: &'static str,
-        says: &'static str,
+        expected_text: &'static str,
     }
     let cases = [
-        Case { name: "no file", file: "", says: "reading settings file" },
-        Case { name: "not YAML", file: "nodeName: [", says: "settings file" },
-        Case { name: "a field missing", file: "nodeName: a\n", says: "missing field" },
+        Case { name: "no file", file: "", expected_text: "reading settings file" },
+        Case { name: "not YAML", file: "nodeName: [", expected_text: "settings file" },
+        Case { name: "a field missing", file: "nodeName: a\n", expected_text: "missing field" },
     ];
     for case in cases {
         let path = std::env::temp_dir().join(format!("umberglade-bad-{}", std::process::id()));
@@ -230,7 +230,7 @@
         let output = run_with(&path);
         let _ = std::fs::remove_file(&path);
         assert_eq!(output.0, Some(2), "{}", case.name);
-        assert!(output.1.contains(case.says), "{}: {}", case.name, output.1);
+        assert!(output.1.contains(case.expected_text), "{}: {}", case.name, output.1);
     }
 }
 
@@ -248,14 +248,14 @@
 /// but the connection has not written it out when the stop's least time is
 /// over. The caller must still get the whole answer.
 #[test]
-fn a_stop_waits_until_answers_are_written_out() {
+fn stop_waits_until_responses_are_written() {
     const EVENT_BYTES: usize = 2_000_000;
     let options = ServerOptions { padding: EVENT_BYTES, ..ServerOptions::default() };
-    let store = start_site_of(options);
+    let store = start_site_with(options);
     let gateway = Gateway::start("slow-reader", &store, "400");
     thread::sleep(Duration::from_millis(500));
     let mut caller = TcpStream::connect(&gateway.front).expect("a connection");
-    caller.set_read_timeout(Some(HANG)).expect("a timeout");
+    caller.set_read_timeout(Some(HANG_TIMEOUT)).expect("a timeout");
     let request = "POST /stream/x HTTP/1.1\r\nhost: site.example\r\nx-request-id: slow\r\n\
                    x-timeout-ms: 20000\r\nx-token-usage: 1000,400\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(request.as_bytes()).expect("sending the request");
@@ -263,25 +263,25 @@
     gateway.signal("-TERM");
     // Longer than the least time of a stop, shorter than its grace.
     thread::sleep(Duration::from_millis(4500));
-    let mut answer = Vec::new();
-    caller.read_to_end(&mut answer).expect("an answer until the connection closes");
-    assert!(answer.ends_with(b"0\r\n\r\n"), "cut after {} bytes", answer.len());
-    assert!(answer.len() > 8 * EVENT_BYTES, "only {} bytes", answer.len());
+    let mut response = Vec::new();
+    caller.read_to_end(&mut response).expect("an answer until the connection closes");
+    assert!(response.ends_with(b"0\r\n\r\n"), "cut after {} bytes", response.len());
+    assert!(response.len() > 8 * EVENT_BYTES, "only {} bytes", response.len());
 }
 
 /// Operators scrape an instance whose callers send paths and ids of all sorts.
 /// A label that took its value from a request would make a series of each, and
 /// the scraper, then the instance, would run out of memory.
 #[test]
-fn metrics_are_exposition_text_with_few_series() {
+fn metrics_are_valid_with_a_bounded_number_of_series() {
     let store = start_site();
     let gateway = Gateway::start("scraped", &store, "400");
     let agent = agent();
     let paths = ["/safe/", "/once/", "/stream/", "/nowhere/"];
     let scrape = || {
         let url = format!("http://{}/metrics", gateway.metrics);
-        let mut answer = agent.get(url).call().expect("an answer");
-        answer.body_mut().read_to_string().expect("text")
+        let mut response = agent.get(url).call().expect("an answer");
+        response.body_mut().read_to_string().expect("text")
     };
     for round in 0..3 {
         for at in 0..40 {
--- a/crates/umberglade/tests/golden_session.rs
+++ b/crates/umberglade/tests/golden_session.rs
@@ -18,7 +18,7 @@
 use support::wait_for_servers;
 
 /// Fields of log events that differ from run to run.
-const UNSTEADY: [&str; 9] = [
+const VARYING_FIELDS: [&str; 9] = [
     "timestamp",
     "level",
     "target",
@@ -31,10 +31,10 @@
 ];
 
 /// The events that a daemon logs by itself after its start, in this order.
-const MEMBERS_SEEN: u64 = 3004;
-const DUTY_TAKEN: u64 = 4001;
+const MEMBERS_CHANGED_EVENT: u64 = 3004;
+const LEADER_CHANGED_EVENT: u64 = 4001;
 /// How long the log must stay as it is to be whole.
-const SETTLE_TIME: Duration = Duration::from_millis(60);
+const LOG_SETTLE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// One request of the session.
 struct SessionStep {
@@ -119,10 +119,10 @@
 
 /// The log once nothing more is written to it: on a busy machine the last
 /// event of a step comes a while after its answer.
-fn settled(read_log: impl Fn() -> String) -> String {
+fn wait_for_stable_log(read_log: impl Fn() -> String) -> String {
     let mut log = read_log();
     loop {
-        thread::sleep(SETTLE_TIME);
+        thread::sleep(LOG_SETTLE_INTERVAL);
         let later = read_log();
         if later.len() == log.len() {
             return log;
@@ -144,7 +144,7 @@
     event.get("event")?;
     let mut text = format!("! {}", event["event"]);
     for (name, value) in &event {
-        if name != "event" && !UNSTEADY.contains(&name.as_str()) {
+        if name != "event" && !VARYING_FIELDS.contains(&name.as_str()) {
             let _ = write!(text, " {name}={value}");
         }
     }
@@ -178,7 +178,7 @@
 /// kinds. What callers get and which numbered events the daemon logs for
 /// each step must be exactly what the golden file says.
 #[test]
-fn a_session_is_what_the_golden_file_says() {
+fn session_matches_the_golden_file() {
     let platform = start_platform("0");
     let _engines = [
         start_engine(&platform.addr, "prefill-1", "prefill", &[]),
@@ -204,7 +204,7 @@
     // The lease and the duty are taken in their own time, the duty last: a
     // session begun between the two finds the duty's event among its own.
     let has_event = |number| read_log().lines().any(|line| event_number(line) == Some(number));
-    for background in [MEMBERS_SEEN, DUTY_TAKEN] {
+    for background in [MEMBERS_CHANGED_EVENT, LEADER_CHANGED_EVENT] {
         support::eventually(Duration::from_secs(10), || has_event(background));
     }
     let mut seen = read_log().lines().count();
@@ -212,7 +212,7 @@
     for step in session() {
         let _ = writeln!(text, "## {}\n> {} {} {}", step.name, step.method, step.path, step.body);
         let _ = writeln!(text, "{}", send(&daemon.addr, &step));
-        let log = settled(read_log);
+        let log = wait_for_stable_log(read_log);
         for line in log.lines().skip(seen).filter_map(event_line) {
             let _ = writeln!(text, "{line}");
         }
--- a/crates/umberglade/tests/invariants.rs
+++ b/crates/umberglade/tests/invariants.rs
@@ -25,9 +25,9 @@
 /// same version. Exactly one wins; the other is told of the conflict and
 /// nothing of it is written.
 #[test]
-fn operators_racing_get_one_winner_and_one_conflict() {
+fn concurrent_activations_get_one_winner_and_one_conflict() {
     let site = Site::start(1, 1);
-    let racers: Vec<_> = ["peak", "maintenance"]
+    let activations: Vec<_> = ["peak", "maintenance"]
         .into_iter()
         .map(|preset| {
             let platform = site.platform.addr.clone();
@@ -36,7 +36,8 @@
             })
         })
         .collect();
-    let results: Vec<_> = racers.into_iter().map(|racer| racer.join().unwrap()).collect();
+    let results: Vec<_> =
+        activations.into_iter().map(|activation| activation.join().unwrap()).collect();
     let wins = results.iter().filter(|result| result.is_ok()).count();
     let conflicts = results
         .iter()
@@ -49,12 +50,12 @@
 /// now says "ordinary at version 1" while daemons hold "peak at version
 /// 2". A daemon must not move back to the older preset.
 #[test]
-fn preset_in_force_never_reverts_when_the_store_goes_back() {
+fn active_preset_never_reverts_when_the_store_loses_writes() {
     let mut site = Site::start(1, 1);
     umberglade_wire::pool::block_on(actions(&site.platform.addr).activate("peak", 1)).unwrap();
     assert!(eventually(Duration::from_secs(3), || status(&site.daemon.addr).unwrap()["fence"] == 2));
     let addr = site.platform.addr.clone();
-    site.platform.stop();
+    site.platform.kill();
     site.platform =
         Process::start(&["standin", "platform", "--listen", &addr, "--instance-lag-ms", "0"]);
     support::seed(&addr);
@@ -68,17 +69,17 @@
 /// must still be served on the preset in force, and the daemon must say
 /// that its view is getting old.
 #[test]
-fn platform_outage_keeps_serving_on_the_last_preset() {
+fn daemon_serves_with_last_preset_during_platform_outage() {
     let site = Site::start(1, 1);
     set_faults(&site.platform.addr, &FaultPlan { outage: true, ..FaultPlan::default() });
     thread::sleep(Duration::from_millis(700));
-    let answer = post(
+    let response = post(
         &site.daemon.addr,
         "/v1/completions",
         "key-glenmorrow",
         r#"{"model":"brief-model","prompt":"gate code?","max_tokens":3}"#,
     );
-    assert_eq!(answer.status, 200, "{}", answer.body);
+    assert_eq!(response.status, 200, "{}", response.body);
     let now = status(&site.daemon.addr).unwrap();
     assert!(now["platform_sync_age_s"].as_f64().unwrap() > 0.4, "{now}");
     assert_eq!(now["preset"], "ordinary");
@@ -101,13 +102,13 @@
     }));
     let before = engine_stats(&drained.addr).decodes_done;
     for _ in 0..6 {
-        let answer = post(
+        let response = post(
             &site.daemon.addr,
             "/v1/completions",
             "key-glenmorrow",
             r#"{"model":"brief-model","prompt":"slots?","max_tokens":2}"#,
         );
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert_eq!(response.status, 200, "{}", response.body);
     }
     assert_eq!(engine_stats(&drained.addr).decodes_done, before, "a drained server got new work");
 }
@@ -117,7 +118,7 @@
 /// with Retry-After, the answer in flight ends whole, then the process
 /// exits.
 #[test]
-fn planned_stop_cuts_no_request_in_flight() {
+fn graceful_stop_completes_requests_in_flight() {
     let mut site = Site::start(1, 1);
     let daemon = site.daemon.addr.clone();
     let streaming = thread::spawn(move || {
@@ -128,19 +129,19 @@
     thread::sleep(Duration::from_millis(100));
     let health = ureq::get(&format!("http://{}/healthz", site.daemon.addr)).call();
     assert!(health.is_err(), "health check must fail once the stop began");
-    let refused = post(
+    let rejected = post(
         &site.daemon.addr,
         "/v1/completions",
         "key-glenmorrow",
         r#"{"model":"brief-model","prompt":"x"}"#,
     );
-    assert_eq!((refused.status, refused.retry_after.is_some()), (503, true));
-    let answer = streaming.join().unwrap();
-    assert_eq!(answer.status, 200);
+    assert_eq!((rejected.status, rejected.retry_after.is_some()), (503, true));
+    let response = streaming.join().unwrap();
+    assert_eq!(response.status, 200);
     assert!(
-        answer.body.ends_with("data: [DONE]\n\n"),
+        response.body.ends_with("data: [DONE]\n\n"),
         "cut: {}",
-        &answer.body[answer.body.len().saturating_sub(200)..]
+        &response.body[response.body.len().saturating_sub(200)..]
     );
     assert!(
         eventually(Duration::from_secs(2), || site.daemon.child.try_wait().unwrap().is_some()),
@@ -152,7 +153,7 @@
 /// operator's command must not report failure, nor write twice: it reads
 /// the row back and finds its own write.
 #[test]
-fn lost_reply_on_activation_is_read_back_not_retried() {
+fn lost_activation_reply_is_read_back_not_retried() {
     let site = Site::start(1, 1);
     set_faults(&site.platform.addr, &FaultPlan { lose_reply_percent: 100, ..FaultPlan::default() });
     let outcome = umberglade_wire::pool::block_on(actions(&site.platform.addr).activate("peak", 1));
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -12,9 +12,9 @@
 use umberglade_wire::platform::DUTY_TABLE;
 use umberglade_wire::platform::DutyRecord;
 
-use support::Link;
 use support::Process;
 use support::Site;
+use support::TcpProxy;
 use support::actions;
 use support::eventually;
 use support::get_json;
@@ -27,7 +27,7 @@
 use support::status;
 
 /// Daemons of these tests beat fast: a lease lasts 600 ms.
-const FAST: [&str; 4] = ["--follow-ms", "200", "--member-beat-ms", "200"];
+const SHORT_LEASE_ARGS: [&str; 4] = ["--follow-ms", "200", "--member-beat-ms", "200"];
 const LEASE: Duration = Duration::from_millis(600);
 
 fn is_member(daemon: &str) -> bool {
@@ -41,7 +41,7 @@
 }
 
 /// The daemon that holds the duty, by the row.
-fn duty_holder(platform: &str) -> Option<String> {
+fn leader(platform: &str) -> Option<String> {
     let list = run(actions(platform).platform.list(DUTY_TABLE)).unwrap();
     let row = list.rows.into_iter().next()?;
     let record: DutyRecord = serde_json::from_value(row.value).unwrap();
@@ -52,25 +52,25 @@
 /// lapse; on waking it must not believe its old lease for a moment longer
 /// than it takes to ask it, and then come back by renewing.
 #[test]
-fn a_paused_daemon_lapses_and_comes_back() {
+fn paused_daemon_expires_and_rejoins() {
     let platform = start_platform("0");
     seed(&platform.addr);
-    let paused = start_daemon(&platform.addr, "entry-1", &FAST);
-    let other = start_daemon(&platform.addr, "entry-2", &FAST);
+    let paused = start_daemon(&platform.addr, "entry-1", &SHORT_LEASE_ARGS);
+    let other = start_daemon(&platform.addr, "entry-2", &SHORT_LEASE_ARGS);
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 2));
-    paused.freeze();
+    paused.pause();
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 1));
     assert!(is_member(&other.addr));
-    paused.thaw();
+    paused.resume();
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 2));
     assert!(eventually(Duration::from_secs(1), || is_member(&paused.addr)));
 }
 
 /// Where daemons are cut off from the platform.
-struct SplitCase {
+struct PartitionCase {
     name: &'static str,
-    cut_daemons: usize,
-    kept_daemons: usize,
+    partitioned_daemons: usize,
+    connected_daemons: usize,
 }
 
 /// A failure domain, or a whole region, loses the platform for a while;
@@ -80,10 +80,14 @@
 /// one, then refuses and fails its health check. Once healed it has the new
 /// preset in force within the letter's 4 s and serves again.
 #[test]
-fn daemons_cut_off_from_the_platform_serve_on_and_catch_up() {
+fn partitioned_daemons_keep_serving_and_catch_up() {
     let cases = [
-        SplitCase { name: "one failure domain of three", cut_daemons: 1, kept_daemons: 2 },
-        SplitCase { name: "one region of two", cut_daemons: 2, kept_daemons: 2 },
+        PartitionCase {
+            name: "one failure domain of three",
+            partitioned_daemons: 1,
+            connected_daemons: 2,
+        },
+        PartitionCase { name: "one region of two", partitioned_daemons: 2, connected_daemons: 2 },
     ];
     for case in &cases {
         let platform = start_platform("0");
@@ -92,50 +96,52 @@
             start_engine(&platform.addr, "p", "prefill", &[]),
             start_engine(&platform.addr, "d", "decode", &[]),
         ];
-        let link = Link::to(&platform.addr);
+        let proxy = TcpProxy::to(&platform.addr);
         let start = |addr: &str, name: &str, count: usize| -> Vec<Process> {
-            (0..count).map(|at| start_daemon(addr, &format!("{name}-{at}"), &FAST)).collect()
+            (0..count)
+                .map(|at| start_daemon(addr, &format!("{name}-{at}"), &SHORT_LEASE_ARGS))
+                .collect()
         };
-        let cut = start(&link.addr, "cut", case.cut_daemons);
-        let kept = start(&platform.addr, "kept", case.kept_daemons);
-        let all = case.cut_daemons + case.kept_daemons;
+        let partitioned = start(&proxy.addr, "cut", case.partitioned_daemons);
+        let connected = start(&platform.addr, "kept", case.connected_daemons);
+        let all = case.partitioned_daemons + case.connected_daemons;
         assert!(eventually(Duration::from_secs(4), || live_members(&platform.addr) == all));
-        for daemon in cut.iter().chain(&kept) {
+        for daemon in partitioned.iter().chain(&connected) {
             support::wait_for_servers(&daemon.addr, 2);
         }
-        link.cut();
-        let lapsed = || live_members(&platform.addr) == case.kept_daemons;
-        assert!(eventually(Duration::from_secs(4), lapsed), "{}: no lapse", case.name);
+        proxy.cut();
+        let expired = || live_members(&platform.addr) == case.connected_daemons;
+        assert!(eventually(Duration::from_secs(4), expired), "{}: no lapse", case.name);
         run(actions(&platform.addr).activate("peak", 1)).unwrap();
         let fence_of = |daemon: &Process| status(&daemon.addr).unwrap()["fence"].clone();
-        let on_kept = || kept.iter().all(|daemon| fence_of(daemon) == 2);
-        assert!(eventually(Duration::from_secs(4), on_kept), "{}: kept side", case.name);
-        let ask = |daemon: &Process| {
+        let on_connected = || connected.iter().all(|daemon| fence_of(daemon) == 2);
+        assert!(eventually(Duration::from_secs(4), on_connected), "{}: kept side", case.name);
+        let send_chat = |daemon: &Process| {
             post(&daemon.addr, "/v1/chat/completions", "key-neulanjalki", &support::chat(10, 3))
         };
-        for daemon in cut.iter().chain(&kept) {
-            let answer = ask(daemon);
-            assert_eq!(answer.status, 200, "{}: {}", case.name, answer.body);
+        for daemon in partitioned.iter().chain(&connected) {
+            let response = send_chat(daemon);
+            assert_eq!(response.status, 200, "{}: {}", case.name, response.body);
         }
         // The kept side has acted under the new preset: the engines, which
         // check fences, hold the cut side off from now on.
-        for daemon in &cut {
-            let answer = ask(daemon);
-            assert_eq!(answer.status, 503, "{}: {}", case.name, answer.body);
-            assert!(answer.retry_after.is_some());
+        for daemon in &partitioned {
+            let response = send_chat(daemon);
+            assert_eq!(response.status, 503, "{}: {}", case.name, response.body);
+            assert!(response.retry_after.is_some());
             let health = ureq::get(&format!("http://{}/healthz", daemon.addr)).call();
             assert!(health.is_err(), "{}: the balancer still sends callers", case.name);
         }
-        for daemon in &cut {
+        for daemon in &partitioned {
             assert_eq!(fence_of(daemon), 1, "{}: how did it hear?", case.name);
             assert!(!is_member(&daemon.addr), "{}: believes a lapsed lease", case.name);
         }
-        link.heal();
-        let caught_up = || cut.iter().all(|daemon| fence_of(daemon) == 2);
+        proxy.restore();
+        let caught_up = || partitioned.iter().all(|daemon| fence_of(daemon) == 2);
         assert!(eventually(Duration::from_secs(4), caught_up), "{}: not in force", case.name);
         assert!(eventually(Duration::from_secs(4), || live_members(&platform.addr) == all));
-        for daemon in &cut {
-            assert_eq!(ask(daemon).status, 200, "{}: healed", case.name);
+        for daemon in &partitioned {
+            assert_eq!(send_chat(daemon).status, 200, "{}: healed", case.name);
         }
     }
 }
@@ -146,29 +152,29 @@
 /// daemon itself and the order count guards it: exactly the one order must
 /// have been taken, and the server must stay what it was ordered to be.
 #[test]
-fn a_paused_holder_of_the_duty_gives_no_order_on_waking() {
+fn paused_leader_sends_no_order_after_resuming() {
     let platform = start_platform("0");
     seed(&platform.addr);
     let engine = start_engine(&platform.addr, "server", "prefill", &["--checks-fence", "false"]);
     let daemons = [
-        start_daemon(&platform.addr, "entry-1", &FAST),
-        start_daemon(&platform.addr, "entry-2", &FAST),
+        start_daemon(&platform.addr, "entry-1", &SHORT_LEASE_ARGS),
+        start_daemon(&platform.addr, "entry-2", &SHORT_LEASE_ARGS),
     ];
-    assert!(eventually(Duration::from_secs(4), || duty_holder(&platform.addr).is_some()));
-    let first = duty_holder(&platform.addr).unwrap();
+    assert!(eventually(Duration::from_secs(4), || leader(&platform.addr).is_some()));
+    let first = leader(&platform.addr).unwrap();
     let paused = &daemons[usize::from(first == "entry-2")];
-    paused.freeze();
-    let taken = || duty_holder(&platform.addr).is_some_and(|holder| holder != first);
+    paused.pause();
+    let taken = || leader(&platform.addr).is_some_and(|holder| holder != first);
     assert!(eventually(Duration::from_secs(5), taken), "nobody took the duty");
     run(actions(&platform.addr).want_role("server", EngineRole::Decode)).unwrap();
     let report = || get_json::<EngineReport>(&engine.addr, "/v1/report");
     let is_decode = || report().role == EngineRole::Decode && !report().busy;
     assert!(eventually(Duration::from_secs(5), is_decode), "{:?}", report());
-    paused.thaw();
+    paused.resume();
     std::thread::sleep(LEASE * 3);
     assert_eq!(report().sequence, 1, "another order was taken: {:?}", report());
     assert_eq!(report().role, EngineRole::Decode);
-    assert_ne!(duty_holder(&platform.addr).unwrap(), first, "the duty went back by itself");
+    assert_ne!(leader(&platform.addr).unwrap(), first, "the duty went back by itself");
 }
 
 /// One order that comes when a newer holder's has been taken.
@@ -183,7 +189,7 @@
 /// that check fencing numbers refuse it for its number, engines that
 /// ignore them for its order count. Neither carries it out.
 #[test]
-fn an_order_of_an_old_holder_is_refused() {
+fn order_of_a_former_leader_is_rejected() {
     let cases = [
         StaleOrderCase {
             name: "checks, old fence",
@@ -211,10 +217,10 @@
         let report = || get_json::<EngineReport>(engine, "/v1/report");
         assert!(eventually(Duration::from_secs(3), || !report().busy));
         let stale = order(case.fence, case.expected_sequence, EngineRole::Prefill);
-        let refused = ureq::post(&format!("http://{engine}/v1/order"))
+        let rejected = ureq::post(&format!("http://{engine}/v1/order"))
             .send(serde_json::to_string(&stale).unwrap())
             .expect_err("an old holder's order must be refused");
-        assert!(matches!(refused, ureq::Error::StatusCode(409)), "{}: {refused}", case.name);
+        assert!(matches!(rejected, ureq::Error::StatusCode(409)), "{}: {rejected}", case.name);
         assert_eq!(report().role, EngineRole::Decode, "{}", case.name);
     }
 }
--- a/crates/umberglade/tests/in_force.rs
+++ b/crates/umberglade/tests/propagation.rs
@@ -12,8 +12,8 @@
 
 use umberglade_wire::platform::FaultPlan;
 
-use support::CLOSELY;
 use support::Process;
+use support::SHORT_FOLLOW_ARGS;
 use support::Site;
 use support::actions;
 use support::engine_stats;
@@ -28,10 +28,10 @@
 use support::status;
 
 /// The letter's bound.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How the platform behaves while operators act.
-struct ChangeCase {
+struct ActivationCase {
     name: &'static str,
     faults: FaultPlan,
     /// Activations in quick succession.
@@ -43,16 +43,16 @@
 /// activation must be in force on every daemon within 4 s of the last, and
 /// no daemon may ever show an older fence after a newer one.
 #[test]
-fn an_accepted_preset_is_in_force_everywhere_in_time() {
+fn accepted_preset_reaches_every_daemon_in_time() {
     let cases = [
-        ChangeCase { name: "platform well", faults: FaultPlan::default(), changes: 1 },
-        ChangeCase { name: "a storm of changes", faults: FaultPlan::default(), changes: 20 },
-        ChangeCase {
+        ActivationCase { name: "platform well", faults: FaultPlan::default(), changes: 1 },
+        ActivationCase { name: "a storm of changes", faults: FaultPlan::default(), changes: 20 },
+        ActivationCase {
             name: "platform slow",
             faults: FaultPlan { delay_ms: 700, ..FaultPlan::default() },
             changes: 1,
         },
-        ChangeCase {
+        ActivationCase {
             name: "replies lost",
             faults: FaultPlan { lose_reply_percent: 100, ..FaultPlan::default() },
             changes: 1,
@@ -72,7 +72,7 @@
         let accepted = Instant::now();
         let last = case.changes + 1;
         let mut highest = vec![0u64; daemons.len()];
-        let everywhere = eventually(IN_FORCE_WITHIN, || {
+        let everywhere = eventually(ACTIVATION_TIMEOUT, || {
             for (daemon, highest) in daemons.iter().zip(&mut highest) {
                 let fence = status(&daemon.addr).unwrap()["fence"].as_u64().unwrap();
                 assert!(fence >= *highest, "{}: went back from {highest} to {fence}", case.name);
@@ -86,21 +86,22 @@
 
 /// Asks over and over until told to stop; how many asked, and the bodies
 /// of answers that were not whole.
-fn ask_on(daemon: String, stop: Arc<AtomicBool>) -> (u32, Vec<String>) {
-    let mut asked = 0;
+fn send_until_stopped(daemon: String, stop: Arc<AtomicBool>) -> (u32, Vec<String>) {
+    let mut sent = 0;
     let mut broken = Vec::new();
     while !stop.load(Ordering::Acquire) {
-        asked += 1;
-        let answer = post(&daemon, "/v1/chat/completions", "key-glenmorrow", &support::chat(8, 12));
-        if answer.status != 200 || !answer.body.ends_with("data: [DONE]\n\n") {
-            broken.push(format!("{} {}", answer.status, answer.body));
+        sent += 1;
+        let response =
+            post(&daemon, "/v1/chat/completions", "key-glenmorrow", &support::chat(8, 12));
+        if response.status != 200 || !response.body.ends_with("data: [DONE]\n\n") {
+            broken.push(format!("{} {}", response.status, response.body));
         }
     }
-    (asked, broken)
+    (sent, broken)
 }
 
 /// How a decode server goes.
-struct LeaveCase {
+struct RemovalCase {
     name: &'static str,
     leave: fn(&mut Process),
 }
@@ -111,44 +112,44 @@
 /// see a cut or refused request, and within a second no more work may be
 /// sent to the one that went.
 #[test]
-fn a_server_that_goes_costs_no_request() {
+fn leaving_server_fails_no_request() {
     let cases = [
-        LeaveCase { name: "planned stop", leave: |engine| engine.terminate() },
-        LeaveCase { name: "death", leave: Process::stop },
+        RemovalCase { name: "planned stop", leave: |engine| engine.terminate() },
+        RemovalCase { name: "death", leave: Process::kill },
     ];
     for case in &cases {
         let platform = start_platform("3000");
         let _prefill = start_engine(&platform.addr, "p", "prefill", &[]);
-        let mut going = start_engine(&platform.addr, "going", "decode", &[]);
-        let staying = start_engine(&platform.addr, "staying", "decode", &[]);
+        let mut leaving = start_engine(&platform.addr, "going", "decode", &[]);
+        let remaining = start_engine(&platform.addr, "staying", "decode", &[]);
         seed(&platform.addr);
-        let daemon = start_daemon(&platform.addr, "entry-1", &CLOSELY);
+        let daemon = start_daemon(&platform.addr, "entry-1", &SHORT_FOLLOW_ARGS);
         support::wait_for_servers(&daemon.addr, 3);
         let stop = Arc::new(AtomicBool::new(false));
         let callers: Vec<_> = (0..4)
             .map(|_| {
                 let (addr, stop) = (daemon.addr.clone(), Arc::clone(&stop));
-                thread::spawn(move || ask_on(addr, stop))
+                thread::spawn(move || send_until_stopped(addr, stop))
             })
             .collect();
         thread::sleep(Duration::from_millis(500));
-        (case.leave)(&mut going);
+        (case.leave)(&mut leaving);
         let mut exited = false;
         eventually(Duration::from_secs(2), || {
-            exited = going.child.try_wait().unwrap().is_some();
+            exited = leaving.child.try_wait().unwrap().is_some();
             exited
         });
         assert!(exited, "{}: it never ran out of work to finish", case.name);
         thread::sleep(Duration::from_millis(700));
         stop.store(true, Ordering::Release);
-        let mut asked = 0;
+        let mut sent = 0;
         for caller in callers {
             let (count, broken) = caller.join().unwrap();
-            asked += count;
+            sent += count;
             assert!(broken.is_empty(), "{}: {broken:?}", case.name);
         }
-        assert!(asked > 20, "{}: only {asked} asked", case.name);
-        assert!(engine_stats(&staying.addr).decodes_done > 0);
+        assert!(sent > 20, "{}: only {sent} requests sent", case.name);
+        assert!(engine_stats(&remaining.addr).decodes_done > 0);
     }
 }
 
@@ -156,14 +157,14 @@
 /// The instance list goes on showing it live. Within a second it holds
 /// nothing and gets nothing, and no caller notices.
 #[test]
-fn a_drained_server_runs_empty_and_cuts_nothing() {
+fn drained_server_completes_its_requests() {
     let site = Site::start(1, 2);
     let drained = site.decode_engine(1, 0).addr.clone();
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<_> = (0..4)
         .map(|_| {
             let (addr, stop) = (site.daemon.addr.clone(), Arc::clone(&stop));
-            thread::spawn(move || ask_on(addr, stop))
+            thread::spawn(move || send_until_stopped(addr, stop))
         })
         .collect();
     thread::sleep(Duration::from_millis(300));
--- a/crates/umberglade/tests/answers.rs
+++ b/crates/umberglade/tests/responses.rs
@@ -34,7 +34,7 @@
 }
 
 /// Sends as `caller`; the text it got, and whether it was whole.
-fn ask(daemon: &str, caller: usize, stream: bool) -> (String, bool) {
+fn send_chat(daemon: &str, caller: usize, stream: bool) -> (String, bool) {
     let body = serde_json::json!({
         "model": "brief-model",
         "messages": messages(caller),
@@ -42,12 +42,12 @@
         "stream": stream,
     });
     let (_, key) = ORGANISATIONS[caller % 2];
-    let answer = post(daemon, "/v1/chat/completions", key, &body.to_string());
-    assert_eq!(answer.status, 200, "{}", answer.body);
+    let response = post(daemon, "/v1/chat/completions", key, &body.to_string());
+    assert_eq!(response.status, 200, "{}", response.body);
     if stream {
-        return sse_text(&answer.body);
+        return sse_text(&response.body);
     }
-    let whole: serde_json::Value = serde_json::from_str(&answer.body).unwrap();
+    let whole: serde_json::Value = serde_json::from_str(&response.body).unwrap();
     (whole["choices"][0]["message"]["content"].as_str().unwrap().to_owned(), true)
 }
 
@@ -64,7 +64,7 @@
 /// silent with the connection open. Eight callers of two organisations
 /// ask at once: each must get exactly its own answer, whole.
 #[test]
-fn every_answer_is_whole_and_its_callers_own_whatever_a_stream_carries() {
+fn responses_are_complete_and_not_mixed_up_under_stream_faults() {
     let none = EngineFaults::default();
     let cases = [
         StreamCase {
@@ -99,7 +99,7 @@
         let callers: Vec<_> = (0..8)
             .map(|caller| {
                 let daemon = site.daemon.addr.clone();
-                thread::spawn(move || (caller, ask(&daemon, caller, caller % 4 != 0)))
+                thread::spawn(move || (caller, send_chat(&daemon, caller, caller % 4 != 0)))
             })
             .collect();
         for handle in callers {
@@ -118,16 +118,16 @@
 /// answer goes on from the other server at the token that was due: the
 /// callers see a pause, none of them a cut or a token twice.
 #[test]
-fn answers_survive_the_death_of_their_decode_server() {
+fn responses_survive_a_decode_server_crash() {
     let mut site = Site::start(1, 2);
     let callers: Vec<_> = (0..6)
         .map(|caller| {
             let daemon = site.daemon.addr.clone();
-            thread::spawn(move || (caller, ask(&daemon, caller, true)))
+            thread::spawn(move || (caller, send_chat(&daemon, caller, true)))
         })
         .collect();
     thread::sleep(Duration::from_millis(150));
-    site.engines[1].stop();
+    site.engines[1].kill();
     for handle in callers {
         let (caller, (text, done)) = handle.join().unwrap();
         assert!(done, "caller {caller} was cut: {text}");
@@ -139,56 +139,56 @@
 /// answer can't be completed. The caller must see that: an error event
 /// and no `[DONE]`, or an honest status when nothing had been sent.
 #[test]
-fn an_answer_that_cannot_be_completed_never_looks_complete() {
+fn incomplete_response_is_marked_incomplete() {
     let site = Site::start(1, 1);
     let faults = EngineFaults { cut_after_tokens: 5, ..EngineFaults::default() };
     engine_faults(&site.decode_engine(1, 0).addr, &faults);
     let body = support::chat(10, MAX_TOKENS);
-    let answer = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &body);
-    assert_eq!(answer.status, 200);
-    assert!(!answer.body.contains("[DONE]"), "{}", answer.body);
-    assert!(answer.body.contains("answer_cut"), "{}", answer.body);
+    let response = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &body);
+    assert_eq!(response.status, 200);
+    assert!(!response.body.contains("[DONE]"), "{}", response.body);
+    assert!(response.body.contains("answer_cut"), "{}", response.body);
     let whole = body.replace("\"stream\":true", "\"stream\":false");
-    let answer = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &whole);
-    assert!(matches!(answer.status, 502 | 503), "{}", answer.body);
-    assert!(answer.retry_after.is_some());
+    let response = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &whole);
+    assert!(matches!(response.status, 502 | 503), "{}", response.body);
+    assert!(response.retry_after.is_some());
 }
 
 /// One of two prefill servers sends no KV cache: its link is stalled. Only
 /// that server may be set aside for it. (Each decode server that could not
 /// fetch used to be set aside in its place, until none was left.)
 #[test]
-fn a_stalled_transfer_is_blamed_on_the_prefill_server() {
+fn stalled_kv_transfer_ejects_the_prefill_server() {
     let site = Site::start(2, 2);
     let stalled = EngineFaults { stall_kv: true, ..EngineFaults::default() };
     engine_faults(&site.engines[0].addr, &stalled);
-    let mut blamed = BTreeSet::new();
+    let mut ejected = BTreeSet::new();
     // Which server a short prompt goes to is left to chance: ask until the
     // stalled one has had its turn.
     for _ in 0..MAX_ROUNDS {
-        blamed.append(&mut ask_and_watch(&site));
-        if !blamed.is_empty() {
+        ejected.append(&mut send_and_collect_ejected(&site));
+        if !ejected.is_empty() {
             break;
         }
     }
-    assert_eq!(blamed.into_iter().collect::<Vec<_>>(), ["brief-prefill-0"]);
+    assert_eq!(ejected.into_iter().collect::<Vec<_>>(), ["brief-prefill-0"]);
 }
 
 /// Four callers ask at once and must get their answers; the servers seen
 /// set aside meanwhile.
-fn ask_and_watch(site: &Site) -> BTreeSet<String> {
+fn send_and_collect_ejected(site: &Site) -> BTreeSet<String> {
     let callers: Vec<_> = (0..4)
         .map(|caller| {
             let daemon = site.daemon.addr.clone();
-            thread::spawn(move || (caller, ask(&daemon, caller, true)))
+            thread::spawn(move || (caller, send_chat(&daemon, caller, true)))
         })
         .collect();
-    let mut blamed = BTreeSet::new();
+    let mut ejected = BTreeSet::new();
     while callers.iter().any(|caller| !caller.is_finished()) {
         let now = support::status(&site.daemon.addr).unwrap();
         for server in now["servers"].as_array().unwrap() {
             if server["set_aside"] == true {
-                blamed.insert(server["server"].as_str().unwrap().to_owned());
+                ejected.insert(server["server"].as_str().unwrap().to_owned());
             }
         }
         thread::sleep(Duration::from_millis(20));
@@ -198,5 +198,5 @@
         assert!(done, "caller {caller} was cut");
         assert_eq!(text, expected(caller));
     }
-    blamed
+    ejected
 }
--- a/crates/umberglade/tests/silent_links.rs
+++ b/crates/umberglade/tests/silent_connections.rs
@@ -13,9 +13,9 @@
 use umberglade_wire::platform::InstanceEntry;
 use umberglade_wire::platform::InstanceState;
 
-use support::CLOSELY;
-use support::Link;
 use support::Process;
+use support::SHORT_FOLLOW_ARGS;
+use support::TcpProxy;
 use support::actions;
 use support::eventually;
 use support::post;
@@ -27,28 +27,28 @@
 use support::status;
 
 /// The letter's bound on a change being in force everywhere.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(4);
+const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// Something between daemon and platform loses track of the daemon's open
 /// feeds: they stay open and carry nothing. An operator then activates
 /// another preset. The daemon must notice by itself, follow on a fresh
 /// connection and have the preset in force within the letter's 4 s.
 #[test]
-fn a_preset_is_in_force_in_time_though_the_feeds_went_silent() {
+fn preset_is_applied_in_time_when_feeds_go_silent() {
     let platform = start_platform("0");
     seed(&platform.addr);
-    let link = Link::to(&platform.addr);
-    let daemon = start_daemon(&link.addr, "entry-1", &["--follow-ms", "1500"]);
+    let proxy = TcpProxy::to(&platform.addr);
+    let daemon = start_daemon(&proxy.addr, "entry-1", &["--follow-ms", "1500"]);
     assert!(eventually(Duration::from_secs(2), || status(&daemon.addr).unwrap()["fence"] == 1));
-    link.silence_open();
-    let begun = Instant::now();
+    proxy.silence_open_connections();
+    let started_at = Instant::now();
     run(actions(&platform.addr).activate("peak", 1)).unwrap();
-    let in_force = eventually(IN_FORCE_WITHIN, || status(&daemon.addr).unwrap()["fence"] == 2);
-    assert!(in_force, "not in force after {:?}", begun.elapsed());
+    let is_applied = eventually(ACTIVATION_TIMEOUT, || status(&daemon.addr).unwrap()["fence"] == 2);
+    assert!(is_applied, "not in force after {:?}", started_at.elapsed());
 }
 
 /// A dead connection must not hold a request nearly this long.
-const ANSWERED_WITHIN: Duration = Duration::from_secs(15);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Where a link to an engine goes silent.
 struct SilentCase {
@@ -63,7 +63,7 @@
 /// and takes new connections. The caller must get its whole answer, by a
 /// fresh connection, not wait for the dead one.
 #[test]
-fn a_request_is_answered_though_its_connection_went_silent() {
+fn request_completes_when_its_connection_goes_silent() {
     let cases = [
         SilentCase { name: "mid-prefill", role: EngineRole::Prefill, mid_stream: false },
         SilentCase { name: "mid-stream", role: EngineRole::Decode, mid_stream: true },
@@ -71,35 +71,35 @@
     for case in &cases {
         let platform = start_platform("0");
         seed(&platform.addr);
-        let (engines, link) = linked_engines(&platform, case.role);
-        let daemon = start_daemon(&platform.addr, "entry-1", &CLOSELY);
+        let (engines, proxy) = engines_with_proxy(&platform, case.role);
+        let daemon = start_daemon(&platform.addr, "entry-1", &SHORT_FOLLOW_ARGS);
         support::wait_for_servers(&daemon.addr, engines.len());
         let addr = daemon.addr.clone();
         let body = support::chat(if case.mid_stream { 20 } else { 20_000 }, 100);
-        let (sender, answers) = mpsc::channel();
+        let (sender, responses) = mpsc::channel();
         std::thread::spawn(move || {
-            let answer = post(&addr, "/v1/chat/completions", "key-neulanjalki", &body);
-            let _ = sender.send(answer);
+            let response = post(&addr, "/v1/chat/completions", "key-neulanjalki", &body);
+            let _ = sender.send(response);
         });
         std::thread::sleep(Duration::from_millis(300));
-        link.silence_open();
-        let answer = answers
-            .recv_timeout(ANSWERED_WITHIN)
+        proxy.silence_open_connections();
+        let response = responses
+            .recv_timeout(RESPONSE_TIMEOUT)
             .unwrap_or_else(|_| panic!("{}: waits for the dead connection", case.name));
-        assert_eq!(answer.status, 200, "{}: {}", case.name, answer.body);
-        assert!(answer.body.ends_with("data: [DONE]\n\n"), "{}: cut", case.name);
+        assert_eq!(response.status, 200, "{}: {}", case.name, response.body);
+        assert!(response.body.ends_with("data: [DONE]\n\n"), "{}: cut", case.name);
     }
 }
 
 /// One engine of each role by itself, and one more of `role`, nearer and so
 /// chosen first, that is reached through the link returned.
-fn linked_engines(platform: &Process, role: EngineRole) -> (Vec<Process>, Link) {
+fn engines_with_proxy(platform: &Process, role: EngineRole) -> (Vec<Process>, TcpProxy) {
     let unlisted =
         Process::start(&["standin", "engine", "--server", "linked", "--role", &role.to_string()]);
-    let link = Link::to(&unlisted.addr);
+    let proxy = TcpProxy::to(&unlisted.addr);
     let entry = InstanceEntry {
         server: "linked".into(),
-        addr: link.addr.clone(),
+        addr: proxy.addr.clone(),
         role,
         model: "brief-model".into(),
         domain: "unknown".into(),
@@ -111,13 +111,13 @@
         EngineRole::Prefill => "decode",
         _ => "prefill",
     };
-    let far = ["--domain", "far-away"];
+    let other_domain = ["--domain", "far-away"];
     let engines = vec![
         unlisted,
         start_engine(&platform.addr, "other-role", other, &["--domain", "unknown"]),
-        start_engine(&platform.addr, "second", &role.to_string(), &far),
+        start_engine(&platform.addr, "second", &role.to_string(), &other_domain),
     ];
-    (engines, link)
+    (engines, proxy)
 }
 
 /// What a caller sent before its connection went silent.
@@ -125,24 +125,24 @@
     name: &'static str,
     sent: &'static str,
     /// What the daemon answers before it closes; empty for nothing.
-    answer: &'static str,
+    response: &'static str,
 }
 
 /// Callers' connections go silent while they send: in the headers, or in
 /// the body. Neither may hold the daemon for good: it closes them, the
 /// second with an honest refusal, and a stop need not wait for them.
 #[test]
-fn a_caller_that_falls_silent_while_sending_is_let_go() {
+fn silent_caller_connection_is_closed() {
     let cases = [
         CallerCase {
             name: "in the headers",
             sent: "POST /v1/completions HTTP/1.1\r\nHost: x\r\n",
-            answer: "",
+            response: "",
         },
         CallerCase {
             name: "in the body",
             sent: "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer key-neulanjalki\r\nContent-Length: 100\r\n\r\n{\"model\":",
-            answer: "HTTP/1.1 400",
+            response: "HTTP/1.1 400",
         },
     ];
     let site = support::Site::start(1, 1);
@@ -151,15 +151,15 @@
         .map(|case| {
             let mut socket = TcpStream::connect(&site.daemon.addr).unwrap();
             socket.write_all(case.sent.as_bytes()).unwrap();
-            socket.set_read_timeout(Some(ANSWERED_WITHIN)).unwrap();
+            socket.set_read_timeout(Some(RESPONSE_TIMEOUT)).unwrap();
             socket
         })
         .collect();
     for (case, mut socket) in cases.iter().zip(sockets) {
-        let mut answer = String::new();
-        let closed = socket.read_to_string(&mut answer);
+        let mut response = String::new();
+        let closed = socket.read_to_string(&mut response);
         assert!(closed.is_ok(), "{}: still open: {closed:?}", case.name);
-        assert!(answer.starts_with(case.answer), "{}: {answer}", case.name);
+        assert!(response.starts_with(case.response), "{}: {response}", case.name);
     }
     assert_eq!(status(&site.daemon.addr).unwrap()["in_flight"], 0);
 }
--- a/crates/umberglade/tests/support/mod.rs
+++ b/crates/umberglade/tests/support/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code)]
 
-mod link;
+mod tcp_proxy;
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -26,7 +26,7 @@
 use umberglade_wire::platform::FaultPlan;
 
 #[allow(unused_imports)]
-pub use self::link::Link;
+pub use self::tcp_proxy::TcpProxy;
 
 /// The `umberglade` binary under test.
 pub const UMBERGLADE: &str = env!("CARGO_BIN_EXE_umberglade");
@@ -55,7 +55,7 @@
             .stderr(Stdio::inherit())
             .spawn()
             .expect("starting umberglade");
-        Process::listening(child)
+        Process::wait_until_listening(child)
     }
 
     /// Like [`Process::start`], with the log from `info` on, as JSON lines,
@@ -70,10 +70,10 @@
             .stderr(log)
             .spawn()
             .expect("starting umberglade");
-        Process::listening(child)
+        Process::wait_until_listening(child)
     }
 
-    fn listening(mut child: Child) -> Process {
+    fn wait_until_listening(mut child: Child) -> Process {
         let stdout = child.stdout.take().expect("piped stdout");
         let mut line = String::new();
         BufReader::new(stdout).read_line(&mut line).expect("reading the listening line");
@@ -83,7 +83,7 @@
     }
 
     /// Kills the process and waits for it: a crash, or a machine lost.
-    pub fn stop(&mut self) {
+    pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -94,12 +94,12 @@
     }
 
     /// Freezes the process: a paused machine.
-    pub fn freeze(&self) {
+    pub fn pause(&self) {
         self.signal("-STOP");
     }
 
     /// Wakes it again.
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -138,7 +138,7 @@
             }
         }
         seed(&platform.addr);
-        let daemon = start_daemon(&platform.addr, "entry-1", &CLOSELY);
+        let daemon = start_daemon(&platform.addr, "entry-1", &SHORT_FOLLOW_ARGS);
         wait_for_servers(&daemon.addr, prefill + decode);
         Site { platform, engines, daemon }
     }
@@ -164,7 +164,7 @@
 }
 
 /// Follow `platform` closely, as most tests' daemons do.
-pub const CLOSELY: [&str; 2] = ["--follow-ms", "200"];
+pub const SHORT_FOLLOW_ARGS: [&str; 2] = ["--follow-ms", "200"];
 
 /// A daemon of `platform`.
 pub fn start_daemon(platform: &str, daemon_id: &str, more: &[&str]) -> Process {
@@ -320,14 +320,14 @@
 }
 
 /// An answer as a caller sees it.
-pub struct CallerAnswer {
+pub struct CallerResponse {
     pub status: u16,
     pub retry_after: Option<String>,
     pub body: String,
 }
 
 /// POSTs `body` to `path` on the daemon with `key`.
-pub fn post(daemon: &str, path: &str, key: &str, body: &str) -> CallerAnswer {
+pub fn post(daemon: &str, path: &str, key: &str, body: &str) -> CallerResponse {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let mut response = agent
@@ -340,5 +340,5 @@
         response.headers().get("retry-after").map(|value| value.to_str().unwrap().to_owned());
     let status = response.status().as_u16();
     let body = response.body_mut().read_to_string().expect("a text body");
-    CallerAnswer { status, retry_after, body }
+    CallerResponse { status, retry_after, body }
 }
--- a/crates/umberglade/tests/support/link.rs
+++ b/crates/umberglade/tests/support/tcp_proxy.rs
@@ -14,13 +14,13 @@
 use std::time::Duration;
 
 /// How often a forwarder looks whether its connection went silent.
-const LOOK: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// How long a silenced connection is held open: longer than any test.
-const SILENCE: Duration = Duration::from_secs(600);
+const SILENT_HOLD_TIME: Duration = Duration::from_secs(600);
 
 #[derive(Default)]
-struct LinkState {
+struct ProxyState {
     /// New connections are closed at once.
     cut: AtomicBool,
     /// Connections with a number below this forward nothing any more, and
@@ -30,35 +30,35 @@
 }
 
 /// The link; connect to `addr` to reach the peer.
-pub struct Link {
+pub struct TcpProxy {
     pub addr: String,
-    state: Arc<LinkState>,
+    state: Arc<ProxyState>,
 }
 
-impl Link {
+impl TcpProxy {
     /// A link to `peer` that forwards everything.
-    pub fn to(peer: &str) -> Link {
+    pub fn to(peer: &str) -> TcpProxy {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binding a link");
         let addr = listener.local_addr().expect("its address").to_string();
-        let state = Arc::new(LinkState::default());
+        let state = Arc::new(ProxyState::default());
         let peer = peer.to_owned();
         let shared = Arc::clone(&state);
         thread::spawn(move || {
-            for near in listener.incoming().flatten() {
+            for client in listener.incoming().flatten() {
                 if shared.cut.load(Ordering::Acquire) {
                     continue;
                 }
-                let Ok(far) = TcpStream::connect(&peer) else {
+                let Ok(upstream) = TcpStream::connect(&peer) else {
                     continue;
                 };
-                forward_both(near, far, &shared);
+                forward_both_directions(client, upstream, &shared);
             }
         });
-        Link { addr, state }
+        TcpProxy { addr, state }
     }
 
     /// Every open connection goes silent for good; new ones work.
-    pub fn silence_open(&self) {
+    pub fn silence_open_connections(&self) {
         let next = self.state.next_number.load(Ordering::Acquire);
         self.state.silent_below.store(next, Ordering::Release);
     }
@@ -66,33 +66,35 @@
     /// Open connections go silent and new ones are refused.
     pub fn cut(&self) {
         self.state.cut.store(true, Ordering::Release);
-        self.silence_open();
+        self.silence_open_connections();
     }
 
     /// New connections work again.
-    pub fn heal(&self) {
+    pub fn restore(&self) {
         self.state.cut.store(false, Ordering::Release);
     }
 }
 
-fn forward_both(near: TcpStream, far: TcpStream, state: &Arc<LinkState>) {
+fn forward_both_directions(client: TcpStream, upstream: TcpStream, state: &Arc<ProxyState>) {
     let number = state.next_number.fetch_add(1, Ordering::AcqRel);
-    let ways =
-        [(near.try_clone().expect("cloning"), far.try_clone().expect("cloning")), (far, near)];
-    for (from, to) in ways {
+    let directions = [
+        (client.try_clone().expect("cloning"), upstream.try_clone().expect("cloning")),
+        (upstream, client),
+    ];
+    for (from, to) in directions {
         let state = Arc::clone(state);
         thread::spawn(move || forward(from, to, number, &state));
     }
 }
 
-fn forward(mut from: TcpStream, mut to: TcpStream, number: u64, state: &LinkState) {
+fn forward(mut from: TcpStream, mut to: TcpStream, number: u64, state: &ProxyState) {
     let is_silent = || number < state.silent_below.load(Ordering::Acquire);
-    let _ = from.set_read_timeout(Some(LOOK));
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut buffer = [0u8; 16 * 1024];
     loop {
         if is_silent() {
             // Held open, never used again.
-            thread::sleep(SILENCE);
+            thread::sleep(SILENT_HOLD_TIME);
             return;
         }
         match from.read(&mut buffer) {
