--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,5 +1,4 @@
-//! What one placement decision costs, in time and allocations, against the
-//! number of candidate servers.
+//! Measures the time and allocations of one placement decision by number of candidate servers.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -27,8 +26,9 @@
 use umberglade_wire::platform::InstanceEntry;
 use umberglade_wire::platform::InstanceState;
 
-/// Candidates of one decision: a small site, a model's share of the target
-/// (890 servers, 5 models, 2 roles: 89), all of one model.
+/// Numbers of candidates of one decision: a small site; one model's servers of one role at the
+/// target size (890 servers, 5 models, 2 roles: 89); all 445 servers of one role, if they serve
+/// one model.
 const CANDIDATES: [usize; 3] = [6, 89, 445];
 const COUNTED_DECISIONS: u64 = 1000;
 
@@ -36,7 +36,7 @@
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: passes every call on to the system allocator and only counts.
+// SAFETY: forwards every call to the system allocator and only counts allocations.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -1,5 +1,5 @@
-//! The experiment: one workload, each policy in turn on a fresh site, each
-//! load with the same arrivals.
+//! Runs one workload with each policy in turn, every run on a new site. All policies get the same
+//! arrivals at the same load.
 
 use std::io;
 use std::sync::Arc;
@@ -30,9 +30,9 @@
 
 /// Organisations of an experiment's site and their keys.
 const ORGANISATIONS: [(&str, &str); 2] = [("north", "key-north"), ("south", "key-south")];
-/// How far the site's instance list lags.
+/// How far the site's instance list lags behind changes.
 const INSTANCE_LAG: Duration = Duration::from_secs(1);
-/// Rest between runs, so that one's leftovers do not weigh on the next.
+/// Pause between runs, so that remaining work of one run does not affect the next.
 const PAUSE_BETWEEN_RUNS: Duration = Duration::from_millis(1500);
 
 /// A policy to measure.
@@ -67,8 +67,8 @@
     UnknownServer { server: String },
 }
 
-/// Runs every policy of `policies` at every load of `workload`, `runs`
-/// times, and calls `report` after each.
+/// Runs every policy of `policies` at every load of `workload`, `runs` times, and calls `report`
+/// after each run.
 pub async fn run(
     workload: Arc<Workload>,
     policies: &[PolicyName],
@@ -153,7 +153,7 @@
     Ok(site)
 }
 
-/// The preset of an experiment: the classes' targets, room for the load.
+/// Builds the preset of an experiment, with the classes' targets and enough capacity for the load.
 fn preset_text(workload: &Workload) -> String {
     let ttft = |urgent: bool| {
         let matching = workload.class.iter().filter(|class| {
@@ -175,7 +175,7 @@
     &workload.domains[index as usize % workload.domains.len()]
 }
 
-/// Sets `fault` going at its time and ends it again.
+/// Schedules the start and the end of `fault`.
 fn schedule_fault(site: &LocalSite, fault: &TimedFault) -> Result<(), ExperimentError> {
     let engine = site
         .engines
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -1,5 +1,5 @@
-//! What the router adds: the same requests straight to the engines and
-//! through a daemon, in turn, in one run.
+//! Measures the latency that the router adds: sends the same requests alternately straight to the
+//! engines and through a daemon.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -26,7 +26,7 @@
 
 const KEY: &str = "latency-key";
 const MODEL: &str = "brief-model";
-/// The prompt: 40 words, about 40 tokens.
+/// A prompt of 40 words, about 40 tokens.
 const PROMPT: &str = "lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor \
 lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor lor ";
 const MAX_TOKENS: u32 = 8;
@@ -42,11 +42,11 @@
     Seed { source: OperatorError },
     #[snafu(display("{source}"))]
     Exchange { source: WireError },
-    #[snafu(display("reading an answer: {source}"))]
+    #[snafu(display("reading a response: {source}"))]
     Body { source: hyper::Error },
 }
 
-/// Times of one way to the engines, milliseconds.
+/// Latencies of one path to the engines, in milliseconds.
 #[derive(Debug, Clone, Serialize)]
 pub struct PathLatencies {
     pub first_token_p50: f64,
@@ -55,24 +55,24 @@
     pub whole_p95: f64,
 }
 
-/// Both ways in one run.
+/// Latencies of both paths in one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct LatencyReport {
     pub requests: u32,
     pub direct: PathLatencies,
     pub routed: PathLatencies,
-    /// Routed over direct, at the median.
+    /// Ratio of the routed to the direct median.
     pub first_token_ratio: f64,
     pub whole_ratio: f64,
 }
 
-/// One request's times.
+/// Latencies of one request.
 struct RequestLatencies {
     first_token: Duration,
     whole: Duration,
 }
 
-/// Sends `requests` each way, in turn.
+/// Sends `requests` requests on each path, alternating between the two.
 pub async fn measure(requests: u32) -> Result<LatencyReport, LatencyError> {
     let mut site = LocalSite::start(Duration::ZERO).await.context(SiteSnafu)?;
     for role in [EngineRole::Prefill, EngineRole::Decode] {
@@ -165,7 +165,7 @@
     read_lines(LineReader::new(response.into_body()), started_at, b"data: ").await
 }
 
-/// Reads to the end; the first line that begins with `mark` is the first
+/// Reads the response to its end; the first line that begins with `token_prefix` is the first
 /// token.
 async fn read_lines(
     mut reader: LineReader,
--- a/crates/bench/src/load/arrivals.rs
+++ b/crates/bench/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! When which request arrives: Poisson arrivals from a seed.
+//! Schedules Poisson arrivals of requests from a seed.
 
 use std::time::Duration;
 
@@ -8,20 +8,20 @@
 /// One request to send.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// Since the start of the run.
+    /// Time of arrival since the start of the run.
     pub due: Duration,
     /// Index into the workload's classes.
     pub class: usize,
-    /// Number of the request in the run; tells prompts and keys apart.
+    /// Number of the request in the run; makes its prompt and keys unique.
     pub number: u64,
     pub prompt_tokens: u32,
-    /// Which shared prefix it begins with.
+    /// Index of the shared prefix that its prompt begins with.
     pub prefix: u32,
-    /// When its caller hangs up, if it does before its answer ends.
+    /// How long after its arrival the caller hangs up, if it does before the response ends.
     pub hangs_up_after: Option<Duration>,
 }
 
-/// Every arrival of a run of `workload` at `scale`, in order of time.
+/// Returns every arrival of a run of `workload` at `scale`, in order of time.
 pub fn schedule(workload: &Workload, scale: f64, seed: u64) -> Vec<Arrival> {
     let mut rng = fastrand::Rng::with_seed(seed);
     let length = workload.seconds as f64;
@@ -41,7 +41,7 @@
     arrivals
 }
 
-/// Seconds to the next arrival of a Poisson process of `rate` a second.
+/// Returns the seconds to the next arrival of a Poisson process of `rate` a second.
 fn next_gap(rng: &mut fastrand::Rng, rate: f64) -> f64 {
     -(1.0 - rng.f64()).ln() / rate
 }
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -1,5 +1,5 @@
-//! One caller: sends its request, comes back when told to, and times what
-//! it sees.
+//! A caller that sends one request, retries after a rejection with `Retry-After`, and measures the
+//! response.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -18,46 +18,46 @@
 use crate::workload::RequestKind;
 use crate::workload::Workload;
 
-/// A word of filler text: 4 bytes, about one token.
+/// One word of filler text: 4 bytes, about one token.
 const FILLER_WORD: &str = "lor ";
-/// Callers come back only while this share of their time is left.
+/// A caller retries only if the requested wait is at most this fraction of its remaining time.
 const MAX_RETRY_WAIT_FRACTION: f64 = 1.0 / 3.0;
 
 /// How a caller's request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, strum::Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum CallResult {
-    /// A whole answer.
+    /// The response was complete.
     Whole,
-    /// Refused with 429 or 503, having come back as often as it would.
+    /// Rejected with 429 or 503 and not retried any further.
     Refused,
-    /// The caller hung up, as the workload wanted.
+    /// The caller hung up, as the workload specifies.
     HungUp,
-    /// An answer that broke off.
+    /// The response was cut.
     Cut,
-    /// Another status, no answer, or none within the caller's deadline.
+    /// Another status, no response, or none within the caller's deadline.
     Failed,
 }
 
-/// What one caller saw.
+/// The outcome of one request as its caller saw it.
 #[derive(Debug, Clone)]
 pub struct CallOutcome {
     /// Index into the workload's classes.
     pub class: usize,
     pub result: CallResult,
-    /// The last HTTP status, 0 when none came.
+    /// The last HTTP status, 0 if none was received.
     pub status: u16,
-    /// The `type` of the error body of a refusal.
+    /// The `type` in the error body of a rejection or failure.
     pub rejection_type: String,
-    /// The last refusal had no `Retry-After`.
+    /// The last rejection had no `Retry-After`.
     pub refused_without_retry_after: bool,
-    /// From the first attempt to the first token, or to the answer.
+    /// From the first attempt to the first token, or to the response of a plain call.
     pub ttft: Option<Duration>,
     /// Mean time between tokens after the first.
     pub tpot: Option<Duration>,
 }
 
-/// Sends `arrival`, again when refused and told to come back in time.
+/// Sends `arrival` and retries it after a rejection whose `Retry-After` leaves enough time.
 pub async fn call(workload: &Workload, target: &LoadTarget, arrival: &Arrival) -> CallOutcome {
     let class = &workload.class[arrival.class];
     let started = Instant::now();
@@ -86,7 +86,8 @@
     outcome
 }
 
-/// Attempts until one is not refused; true once the outcome stands.
+/// Sends attempts until one is not rejected or no retry is left; returns true once `outcome` is
+/// final.
 async fn attempts(
     workload: &Workload,
     target: &LoadTarget,
@@ -133,11 +134,11 @@
     outcome.refused_without_retry_after = is_rejection && wait.is_none();
     let client = HttpClient::new("-", Duration::from_secs(2));
     if let Err(error) = client.read_whole("refusal", response).await {
-        outcome.rejection_type = rejection_type(&error).unwrap_or_default();
+        outcome.rejection_type = parse_rejection_type(&error).unwrap_or_default();
     }
 }
 
-fn rejection_type(error: &umberglade_wire::WireError) -> Option<String> {
+fn parse_rejection_type(error: &umberglade_wire::WireError) -> Option<String> {
     let umberglade_wire::WireError::Status { body, .. } = error else {
         return None;
     };
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -1,6 +1,6 @@
-//! Load: open-loop arrivals against daemons, measured as callers see them.
+//! Sends open-loop load to daemons and measures it as callers see it.
 //!
-//! Bounded in count and in time, loopback only.
+//! Load is bounded in count and time and goes to loopback only.
 
 mod arrivals;
 mod caller;
@@ -25,24 +25,24 @@
 pub use self::summary::RunSummary;
 use crate::workload::Workload;
 
-/// Hard ceiling on requests of one run, whatever is asked.
+/// Maximum requests of one run, whatever the workload says.
 pub const MAX_REQUESTS: usize = 100_000;
-/// Bound on reading one engine's figures.
+/// Timeout for reading one engine's statistics.
 const STATS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Where one run's requests go.
 #[derive(Debug, Clone)]
 pub struct LoadTarget {
-    /// `host:port` of each daemon, taken in turn.
+    /// `host:port` of each daemon, used in rotation.
     pub daemons: Vec<String>,
-    /// API keys, taken in turn.
+    /// API keys, used in rotation.
     pub keys: Vec<String>,
-    /// `host:port` of engines whose prefill figures are read.
+    /// `host:port` of engines whose prefill statistics are read.
     pub engines: Vec<String>,
 }
 
-/// Sends `workload` at `scale` times its rates and sums up what callers
-/// saw. The same `seed` gives the same arrivals.
+/// Sends `workload` at `scale` times its rates and summarises what callers saw. The same `seed`
+/// gives the same arrivals.
 pub async fn run(
     workload: &Arc<Workload>,
     target: &Arc<LoadTarget>,
--- a/crates/bench/src/load/summary.rs
+++ b/crates/bench/src/load/summary.rs
@@ -1,4 +1,4 @@
-//! Summing up a run: per class and in all.
+//! Summarises a run per class and over all classes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::workload::RequestKind;
 use crate::workload::Workload;
 
-/// Histogram range: 1 µs to 10 minutes, 3 significant figures.
+/// Histogram range: 1 µs to 10 minutes, with 3 significant figures.
 const HISTOGRAM_MAX_US: u64 = 600_000_000;
 const HISTOGRAM_FIGURES: u8 = 3;
 
-/// Prompt tokens at the engines during a run.
+/// Prompt tokens computed by the engines during a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PrefillTotals {
     pub computed: u64,
-    /// Computed, then evicted or cancelled unused.
+    /// Computed, then evicted or cancelled without being used.
     pub unused: u64,
     /// Computed by a repeated prefill of the same request.
     pub repeated: u64,
-    /// Computed for shared prefixes, the first time of each included.
+    /// Computed for shared prefixes, including the first time of each.
     pub prefix: u64,
 }
 
 impl PrefillTotals {
-    /// Adds one engine's figures.
+    /// Adds one engine's statistics.
     pub fn add(&mut self, stats: &EngineStats) {
         self.computed += stats.computed_tokens;
         self.unused += stats.wasted_tokens;
@@ -38,7 +38,7 @@
         self.prefix += stats.prefix_tokens;
     }
 
-    /// What came on top of `earlier`.
+    /// Returns the tokens added since `earlier`.
     pub fn since(&self, earlier: &PrefillTotals) -> PrefillTotals {
         PrefillTotals {
             computed: self.computed.saturating_sub(earlier.computed),
@@ -49,32 +49,32 @@
     }
 }
 
-/// What callers of one class saw.
+/// Results of one class as its callers saw them.
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassSummary {
     pub class: String,
-    /// Sent and not hung up on purpose.
+    /// Sent, except those on which the caller hung up on purpose.
     pub owed: u32,
     pub whole: u32,
-    /// Honest refusals (429/503).
+    /// Rejections with status 429 or 503.
     pub refused: u32,
-    /// Refusals that carried no `Retry-After`.
+    /// Rejections without `Retry-After`.
     pub refused_without_retry_after: u32,
-    /// Errors, cut answers, answers that did not come in time.
+    /// Errors, cut responses, responses past the caller's deadline.
     pub failed: u32,
     pub hung_up: u32,
-    /// Whole answers meeting both the first-token and per-token targets.
+    /// Complete responses that meet both the first-token and the per-token target.
     pub good: u32,
     /// `good / owed`.
     pub goodput_share: f64,
     pub ttft_p50_ms: f64,
     pub ttft_p95_ms: f64,
     pub tpot_p95_ms: f64,
-    /// Refusals and failures by the type in their answer's body.
+    /// Rejections and failures by result, status and error type of the response body.
     pub reasons: BTreeMap<String, u32>,
 }
 
-/// What one run came to.
+/// The results of one run.
 #[derive(Debug, Clone, Serialize)]
 pub struct RunSummary {
     pub workload: String,
@@ -82,19 +82,19 @@
     pub elapsed_s: f64,
     pub classes: Vec<ClassSummary>,
     pub prefill: PrefillTotals,
-    /// Prompt tokens computed in vain: unused, repeated, or of a shared
-    /// prefix beyond its first computing.
+    /// Prompt tokens computed without need: unused, repeated, or of a shared prefix that was
+    /// computed before.
     pub wasted_tokens: u64,
     /// `wasted_tokens / computed`.
     pub wasted_share: f64,
     /// `good / owed` over all classes.
     pub goodput_share: f64,
-    /// `good` answers a second, all classes.
+    /// `good` responses a second over all classes.
     pub goodput_per_s: f64,
 }
 
 impl RunSummary {
-    /// Sums `outcomes` of a run, with the engines' prefill figures.
+    /// Summarises the `outcomes` of a run and the engines' prefill statistics.
     pub fn new(
         workload: &Workload,
         scale: f64,
@@ -130,7 +130,7 @@
     }
 }
 
-/// Tokens of every shared prefix, each computed once.
+/// Returns the sum of the tokens of all shared prefixes, each counted once.
 fn sum_distinct_prefix_tokens(workload: &Workload) -> u64 {
     workload
         .class
--- a/crates/bench/src/report/csv.rs
+++ b/crates/bench/src/report/csv.rs
@@ -1,4 +1,4 @@
-//! CSV: one line per policy, load and class.
+//! Writes CSV with one line per policy, load, run and class.
 
 use std::io;
 use std::io::Write;
--- a/crates/bench/src/report/mod.rs
+++ b/crates/bench/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What an experiment came to, as text, CSV and plot.
+//! Reports the results of an experiment as text, CSV and plot.
 
 mod csv;
 mod plot;
--- a/crates/bench/src/report/plot.rs
+++ b/crates/bench/src/report/plot.rs
@@ -1,4 +1,4 @@
-//! The plot: goodput and wasted prefill against offered load, as SVG.
+//! Plots goodput and wasted prefill against offered load as SVG.
 
 use std::path::Path;
 
--- a/crates/bench/src/report/table.rs
+++ b/crates/bench/src/report/table.rs
@@ -1,4 +1,4 @@
-//! Tables for people: a line per run while it goes, Markdown at the end.
+//! Text reports: one line per run, and a Markdown table at the end.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use crate::experiment::PolicyName;
 use crate::load::RunSummary;
 
-/// One run on one line, `label` first.
+/// Formats one run as one line with `label`.
 pub fn text_line(label: &str, run: &RunSummary) -> String {
     let mut line = format!(
         "{:<12} {:<12} load {:>4.2}  goodput {:>5.1}%  wasted {:>5.1}% of {} tokens (unused {}, repeated {}, prefix {})",
@@ -32,15 +32,15 @@
     line
 }
 
-/// Means of one policy at one load.
+/// Mean results of one policy at one load.
 struct PolicyMean {
     goodput: f64,
     wasted_share: f64,
     wasted_tokens: f64,
 }
 
-/// Goodput and wasted prefill of each policy at each load, the means over
-/// runs, with the first policy's ratio to the others.
+/// Formats the mean goodput and wasted prefill of each policy at each load, with the ratio of the
+/// affinity policy to the others.
 pub fn markdown_table(rows: &[ExperimentRow]) -> String {
     let mut table = String::from(
         "| load | policy | goodput | wasted prefill (share) | wasted tokens | goodput vs. it | wasted vs. it |\n|---|---|---|---|---|---|---|\n",
@@ -73,7 +73,7 @@
     table
 }
 
-/// The loads of `rows`, each once, in the order run.
+/// Returns the distinct loads of `rows` in the order in which they were run.
 pub(super) fn scales(rows: &[ExperimentRow]) -> Vec<f64> {
     let mut scales: Vec<f64> = Vec::new();
     for row in rows {
@@ -101,7 +101,8 @@
     })
 }
 
-/// Points of `figure` of `policy`, one per load.
+/// Returns the percentages of `policy`, one point per load: wasted prefill if `wasted`, else
+/// goodput.
 pub(super) fn series(rows: &[ExperimentRow], policy: PolicyName, wasted: bool) -> Vec<(f64, f64)> {
     scales(rows)
         .into_iter()
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -1,6 +1,6 @@
-//! A whole deployment in one process on loopback: platform, engines, plain
-//! services, daemons. A process starts no other process, so this is how
-//! one command shows or measures the whole path.
+//! A complete deployment in one process on loopback: platform, engines, plain services and daemons.
+//! Processes start no other processes, so one command runs or measures the complete request path
+//! this way.
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,10 +30,10 @@
 use umberglade_wire::server;
 use umberglade_wire::server::RequestHandler;
 
-/// Waits for servers to show are cut off after this long.
+/// Maximum time to wait until a daemon lists every server.
 const READY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The deployment's platform and servers; daemons are added to it.
+/// The deployment's platform and servers, to which daemons can be added.
 #[derive(Debug)]
 pub struct LocalSite {
     pub platform: SocketAddr,
@@ -49,14 +49,14 @@
 }
 
 impl LocalSite {
-    /// A site with only a platform, whose instance list lags by `lag`.
+    /// Starts a site with only a platform, whose instance list lags by `lag`.
     pub async fn start(lag: Duration) -> io::Result<LocalSite> {
         let config = PlatformConfig { instance_lag: lag, ..PlatformConfig::default() };
         let platform = serve(any_port(), Arc::new(PlatformStandin::new(config))).await?;
         Ok(LocalSite { platform, engines: Vec::new(), servers: 0 })
     }
 
-    /// Adds an engine and enters it in the instance list.
+    /// Adds an engine and registers it in the instance list.
     pub async fn add_engine(&mut self, mut config: EngineConfig) -> io::Result<()> {
         config.register_with = Some(self.platform.to_string());
         let standin = EngineStandin::new(config);
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Writes presets and organisations and puts the first preset in force.
+    /// Writes presets and organisations and activates the first preset.
     pub async fn seed(
         &self,
         presets: &[(&str, &str)],
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Settings of a daemon of this site.
+    /// Returns the settings of a daemon of this site.
     pub fn daemon_settings(&self, daemon_id: &str, domain: &str) -> DaemonSettings {
         DaemonSettings {
             listen: any_port(),
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Starts a daemon and waits until it sees every server.
+    /// Starts a daemon and waits until it lists every server.
     pub async fn add_daemon<P: Placement>(
         &self,
         settings: DaemonSettings,
@@ -134,14 +134,14 @@
         let deadline = std::time::Instant::now() + READY_TIMEOUT;
         while started.daemon.status().servers.len() < self.servers {
             if std::time::Instant::now() > deadline {
-                return Err(io::Error::other("a daemon never saw every server"));
+                return Err(io::Error::other("a daemon did not list every server in time"));
             }
             smol::Timer::after(Duration::from_millis(20)).await;
         }
         Ok(started)
     }
 
-    /// `host:port` of every engine.
+    /// Returns `host:port` of every engine.
     pub fn engine_addrs(&self) -> Vec<String> {
         self.engines.iter().map(|engine| engine.addr.to_string()).collect()
     }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,7 +1,6 @@
-//! The workload file: a deployment, what its callers send, and what goes
-//! wrong meanwhile.
+//! The workload file: a deployment, the requests of its callers, and the faults injected meanwhile.
 //!
-//! TOML, unknown fields refused by name; see `bench/workloads/*.toml`.
+//! The format is TOML; unknown fields are rejected by name. See `bench/workloads/*.toml`.
 
 use std::time::Duration;
 
@@ -9,15 +8,15 @@
 use snafu::Snafu;
 use umberglade_wire::engine::Priority;
 
-/// Longest run a workload may ask for.
+/// Maximum length of a run.
 const MAX_SECONDS: u64 = 120;
-/// Highest arrival rate of one class, a second.
+/// Maximum arrivals of one class per second.
 const MAX_RATE: f64 = 2000.0;
 
-/// Why a workload file was refused.
+/// Why a workload file was rejected.
 #[derive(Debug, Snafu)]
 pub enum WorkloadError {
-    /// The text is not TOML of the workload's shape.
+    /// The text is not TOML with the fields of a workload.
     #[snafu(display("workload does not parse: {message}"))]
     Parse { message: String },
     /// A field holds a value outside its range.
@@ -25,19 +24,19 @@
     Field { field: String, problem: String },
 }
 
-/// A deployment and what its callers send.
+/// A deployment and the requests of its callers.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Workload {
     pub name: String,
-    /// Failure domains; servers and daemons are dealt out over them.
+    /// Failure domains; servers and daemons are distributed over them in rotation.
     pub domains: Vec<String>,
     pub daemons: u32,
     /// Length of each run.
     pub seconds: u64,
     /// Loads to run, as factors on every class's rate.
     pub scales: Vec<f64>,
-    /// What computing a prefix again weighs (see the preset field).
+    /// Weight of computing a prefix again (see the preset field).
     #[serde(default = "recompute_weight")]
     pub recompute_weight: f64,
     pub model: ModelService,
@@ -55,7 +54,7 @@
     pub prefill: u32,
     pub decode: u32,
     pub slots: u32,
-    /// Milliseconds a decode step takes for a request alone.
+    /// Milliseconds per decode step of a request that runs alone.
     #[serde(default)]
     pub decode_step_ms: Option<f64>,
 }
@@ -75,7 +74,7 @@
 pub enum RequestKind {
     /// A streamed chat completion.
     Completion,
-    /// A plain service's lookup, which may be repeated.
+    /// A plain service's lookup, which may be retried.
     Lookup,
     /// A plain service's call, which runs at most once.
     Call,
@@ -89,32 +88,33 @@
     pub kind: RequestKind,
     /// Arrivals a second at scale 1.
     pub rate: f64,
-    /// The class a completion asks for.
+    /// The priority that a completion requests.
     #[serde(default = "standard")]
     pub priority: Priority,
-    /// Prompt tokens on average.
+    /// Mean prompt tokens.
     #[serde(default)]
     pub prompt_tokens: u32,
-    /// Prompts vary evenly by this share to both sides.
+    /// Prompt lengths vary uniformly by up to this fraction in both directions.
     #[serde(default)]
     pub prompt_spread: f64,
-    /// Tokens of the shared prefix, and how many prefixes there are.
+    /// Tokens of each shared prefix; `prefixes` is the number of prefixes.
     #[serde(default)]
     pub prefix_tokens: u32,
     #[serde(default = "one_prefix")]
     pub prefixes: u32,
     #[serde(default)]
     pub max_tokens: u32,
-    /// Targets: first token (or answer), and mean time between tokens.
+    /// Latency target for the first token, or for the response of a plain call; `tpot_ms` is the
+    /// target for the mean time between tokens.
     pub ttft_ms: u64,
     #[serde(default = "tpot")]
     pub tpot_ms: u64,
-    /// How long the caller waits in all.
+    /// How long the caller waits in total.
     pub deadline_ms: u64,
-    /// Share of callers who hang up midway.
+    /// Fraction of callers who hang up before the response ends.
     #[serde(default)]
     pub cancel_share: f64,
-    /// Times a refused caller comes back, when told to.
+    /// Maximum retries of a rejected caller that was sent `Retry-After`.
     #[serde(default)]
     pub retries: u32,
 }
@@ -130,27 +130,27 @@
         Duration::from_millis(self.tpot_ms)
     }
 
-    /// How long the caller waits in all.
+    /// How long the caller waits in total.
     pub fn deadline(&self) -> Duration {
         Duration::from_millis(self.deadline_ms)
     }
 }
 
-/// What goes wrong at a server.
+/// The kind of fault at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FaultKind {
-    /// Refuses all work and cuts its streams.
+    /// Rejects all work and cuts its streams.
     Down,
-    /// Sends no KV cache.
+    /// Sends no KV cache to decode servers.
     StallKv,
-    /// Answers no prefill.
+    /// Responds to no prefill.
     SilentPrefill,
-    /// Falls silent in every stream.
+    /// Goes silent in every stream.
     SilentDecode,
 }
 
-/// A fault for part of a run.
+/// A fault that lasts for part of a run.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimedFault {
--- a/crates/umberctl/src/args.rs
+++ b/crates/umberctl/src/args.rs
@@ -21,14 +21,14 @@
     Snapshot(SnapshotArgs),
 }
 
-/// Tell one request's story from the instances' log lines.
+/// Show one request's timeline from the instances' log lines.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
     /// the request's id
     #[argh(positional)]
     pub request_id: String,
-    /// files of log lines; - or none for standard input
+    /// log files; - or none reads standard input
     #[argh(positional)]
     pub files: Vec<String>,
 }
@@ -57,7 +57,8 @@
     /// TOML file
     #[argh(positional)]
     pub file: String,
-    /// the version you read (0 for a new preset); the write fails if it moved
+    /// version that the edit is based on (0 for a new preset); the write fails if the stored
+    /// version differs
     #[argh(option)]
     pub expect_version: u64,
 }
@@ -71,24 +72,25 @@
     pub file: String,
 }
 
-/// Put a preset in force everywhere.
+/// Activate a preset on every daemon.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "activate")]
 pub struct ActivateArgs {
     /// preset name
     #[argh(positional)]
     pub name: String,
-    /// the version of the preset in force you saw (from `status`); refused if another shift changed it since
+    /// active version as printed by `status`; the command fails if another shift has changed it
+    /// since
     #[argh(option)]
     pub expect_active: u64,
 }
 
-/// Show the preset in force and its version.
+/// Show the active preset and its version.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {}
 
-/// Send a backend server no new work.
+/// Stop sending new work to a backend server.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
@@ -113,12 +115,12 @@
     /// organisation name
     #[argh(positional)]
     pub name: String,
-    /// an API key of its callers (repeatable)
+    /// an API key of the organisation's callers (repeatable)
     #[argh(option)]
     pub key: Vec<String>,
 }
 
-/// Have a backend server serve another role (the holder of the duty orders it).
+/// Assign another role to a backend server (the leader sends it the order).
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "role")]
 pub struct RoleArgs {
@@ -130,16 +132,16 @@
     pub role: String,
 }
 
-/// Show every daemon, the fence in force on it and whether its lease is live.
+/// Show every daemon, its active fence and whether its lease is live.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "members")]
 pub struct MembersArgs {
-    /// milliseconds a lease lasts (3 times the daemons' beat) [default 15000]
+    /// lease duration in milliseconds (3 times the daemons' heartbeat interval) [default 15000]
     #[argh(option, default = "15000")]
     pub lease_ms: u64,
 }
 
-/// Keep a copy of every preset and control row in the object store.
+/// Manage copies of every preset and control row in the object store.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "snapshot")]
 pub struct SnapshotArgs {
@@ -147,7 +149,7 @@
     pub action: SnapshotAction,
 }
 
-/// What to do with snapshots.
+/// The subcommands of `snapshot`.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand)]
 pub enum SnapshotAction {
@@ -156,25 +158,25 @@
     Restore(RestoreArgs),
 }
 
-/// Save one.
+/// Save a snapshot.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "save")]
 pub struct SaveArgs {
-    /// its name
+    /// snapshot name
     #[argh(positional)]
     pub name: String,
 }
 
-/// List their names.
+/// List snapshot names.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "list")]
 pub struct ListSnapshotsArgs {}
 
-/// Write one back, as new versions on top of what is in force.
+/// Restore a snapshot: its rows are written as new versions on top of the current ones.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "restore")]
 pub struct RestoreArgs {
-    /// its name
+    /// snapshot name
     #[argh(positional)]
     pub name: String,
 }
--- a/crates/umberctl/src/commands.rs
+++ b/crates/umberctl/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each subcommand of `umberctl` does and prints.
+//! Runs the subcommands of `umberctl` and formats their output.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Runs `command` and returns what to print.
+/// Runs `command` and returns the text to print.
 pub async fn run(actions: &OperatorActions, command: Command) -> Result<String, CommandError> {
     match command {
         Command::Explain(args) => {
--- a/crates/umberctl/src/explain.rs
+++ b/crates/umberctl/src/explain.rs
@@ -1,5 +1,5 @@
-//! `umberctl explain`: one request's story, out of log lines of any number
-//! of instances.
+//! `umberctl explain`: one request's timeline, merged from the log lines of any number of
+//! instances.
 
 use std::fmt::Write;
 use std::io::Read;
@@ -9,13 +9,13 @@
 
 use crate::commands::CommandError;
 
-/// Fields that every line has or that the story names by itself.
+/// Fields that are part of every line's header, so they are not repeated as `name=value`.
 const HEADER_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
-/// Reads standard input in place of a file.
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The story of `request_id` in `files`, oldest line first; what precedes a
-/// line's JSON object (an instance's name, a time) is kept as its source.
+/// Returns the timeline of `request_id` in `files`, oldest line first. Text before a line's JSON
+/// object (an instance's name, a time) is kept as the line's source.
 pub fn explain(request_id: &str, files: &[String]) -> Result<String, CommandError> {
     let mut lines = Vec::new();
     for file in files {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A value without the quotes of JSON text.
+/// Formats a value without the quotes of a JSON string.
 fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
--- a/crates/umberctl/src/main.rs
+++ b/crates/umberctl/src/main.rs
@@ -1,5 +1,5 @@
-//! `umberctl`: the operators' command line. It talks to the platform's
-//! table service, the source of truth, never to a daemon.
+//! `umberctl`: the operators' command line. It talks only to the platform's table service, which
+//! is the source of truth, and never to a daemon.
 
 mod args;
 mod commands;
@@ -12,7 +12,7 @@
 use umberglade_router::operator::OperatorActions;
 use umberglade_router::platform::PlatformClient;
 
-/// Bound on each call to the platform.
+/// Timeout of each call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// umberctl: list, edit and activate presets; drain backend servers.
@@ -21,7 +21,8 @@
     /// host:port of the platform's table service [UMBERCTL_PLATFORM, default 127.0.0.1:7100]
     #[argh(option)]
     pub platform: Option<String>,
-    /// who acts, for the audit trail, e.g. night-shift/alice [UMBERCTL_ACTOR, default $USER]
+    /// name of the operator, for the audit trail, e.g. night-shift/alice
+    /// [UMBERCTL_ACTOR, default $USER]
     #[argh(option)]
     pub actor: Option<String>,
     #[argh(subcommand)]
--- a/crates/umberctl/tests/commands.rs
+++ b/crates/umberctl/tests/commands.rs
@@ -1,5 +1,5 @@
-//! `umberctl` as operators use it, against a platform stand-in: what each
-//! command prints, and that a refused one changes nothing.
+//! Runs `umberctl` against a platform stand-in: checks what each command prints, and that a
+//! rejected command changes nothing.
 
 use std::process::Command;
 use std::time::Duration;
@@ -7,12 +7,12 @@
 use umberglade_bench::site::LocalSite;
 use umberglade_wire::pool;
 
-/// One command of a session and what must come of it.
+/// One command of a session and its expected result.
 struct CommandCase {
     name: &'static str,
     args: &'static [&'static str],
     succeeds: bool,
-    /// Text its output (or error) must contain.
+    /// Text that the command's output or error must contain.
     expected_text: &'static str,
 }
 
@@ -44,16 +44,16 @@
     (output.status.success(), String::from_utf8_lossy(&text).into_owned())
 }
 
-/// A shift's work: presets written, edited, activated; another shift's
-/// change in between; drains, roles, organisations; a snapshot saved and
-/// restored. Each refusal names its cause and leaves things as they were.
+/// Covers an operator's session: presets are written, edited and activated, another shift changes
+/// one in between, servers are drained and given roles, organisations are set, and a snapshot is
+/// saved and restored. Each rejected command names its cause and changes nothing.
 #[test]
 fn operator_session_prints_expected_output() {
     pool::start(2);
     let site = pool::block_on(LocalSite::start(Duration::ZERO)).unwrap();
     let platform = site.platform.to_string();
     let cases = [
-        succeeds("nothing in force", &["status"], "no preset has been activated"),
+        succeeds("no active preset", &["status"], "no preset has been activated"),
         succeeds("check", &["check", "peak.toml"], "valid"),
         fails("no such file", &["check", "nope.toml"], "nope.toml"),
         fails("not a preset", &["check", "../Cargo.toml"], "does not parse"),
@@ -64,7 +64,7 @@
         ),
         succeeds("put", &["put", "peak", "peak.toml", "--expect-version", "0"], "version 1"),
         fails(
-            "put over another's",
+            "put with a stale version",
             &["put", "peak", "ordinary.toml", "--expect-version", "0"],
             "changed meanwhile (now at version 1)",
         ),
@@ -73,12 +73,12 @@
         fails("show unknown", &["show", "nope"], "no preset named `nope`"),
         succeeds("activate", &["activate", "ordinary", "--expect-active", "0"], "version 1"),
         fails(
-            "activate on an old view",
+            "activate with a stale version",
             &["activate", "peak", "--expect-active", "0"],
             "changed meanwhile",
         ),
         succeeds("still ordinary", &["status"], "in force: ordinary"),
-        succeeds("by whom", &["status"], "night-shift/test"),
+        succeeds("status names the operator", &["status"], "night-shift/test"),
         succeeds("organisation", &["org", "north", "--key", "k1", "--key", "k2"], "north set"),
         succeeds("drain", &["drain", "d1"], "d1 drained"),
         succeeds("undrain", &["undrain", "d1"], "d1 back"),
@@ -89,7 +89,7 @@
         succeeds("list snapshots", &["snapshot", "list"], "before/peak"),
         succeeds("activate peak", &["activate", "peak", "--expect-active", "1"], "version 2"),
         succeeds("restore", &["snapshot", "restore", "before/peak"], "1 rows written"),
-        succeeds("forward, not back", &["status"], "active version 3"),
+        succeeds("restore writes a new version", &["status"], "active version 3"),
         succeeds("ordinary again", &["status"], "in force: ordinary"),
         fails("no such snapshot", &["snapshot", "restore", "nope"], "no snapshot named"),
     ];
@@ -100,7 +100,7 @@
     }
 }
 
-/// The platform is not there: a clear error that names step and peer.
+/// If the platform is unreachable, the error names the step and the platform's address.
 #[test]
 fn unreachable_platform_error_names_step_and_address() {
     let (succeeded, text) = umberctl("127.0.0.1:1", &["status"]);
--- a/crates/umberctl/tests/explain.rs
+++ b/crates/umberctl/tests/explain.rs
@@ -1,4 +1,4 @@
-//! `umberctl explain` on log lines of two instances.
+//! Tests `umberctl explain` on log lines of two instances.
 
 use std::process::Command;
 
--- a/crates/umberglade/src/cli/bench.rs
+++ b/crates/umberglade/src/cli/bench.rs
@@ -1,13 +1,13 @@
-//! Arguments of the load and experiment tool.
+//! Arguments of the load, experiment and latency commands.
 
 use argh::FromArgs;
 
 /// Send a bounded open-loop load to daemons and report goodput, latency
-/// percentiles, refusals and wasted prefill.
+/// percentiles, rejections and wasted prefill.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "load")]
 pub struct LoadArgs {
-    /// host:port of a daemon on loopback (repeatable: taken in turn)
+    /// host:port of a daemon on loopback (repeatable: used in rotation)
     #[argh(option)]
     pub target: Vec<String>,
     /// API key to send with (repeatable: one per organisation)
@@ -22,13 +22,13 @@
     /// seed of the arrivals [default 1]
     #[argh(option, default = "1")]
     pub seed: u64,
-    /// engine host:port whose prefill figures to count (repeatable)
+    /// host:port of an engine whose prefill statistics are read (repeatable)
     #[argh(option)]
     pub engine: Vec<String>,
 }
 
-/// Run placement policies side by side over a range of loads, everything
-/// in one process on loopback; write CSV, SVG and a Markdown table.
+/// Compare placement policies over a range of loads, with everything in one process on loopback;
+/// write CSV, SVG and a Markdown table.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "experiment")]
 pub struct ExperimentArgs {
@@ -42,7 +42,7 @@
     /// [default all]
     #[argh(option)]
     pub policy: Vec<String>,
-    /// times to run each policy at each load [default 1]
+    /// number of runs of each policy at each load [default 1]
     #[argh(option, default = "1")]
     pub runs: u32,
     /// name of the files written [default the workload's name]
@@ -53,12 +53,12 @@
     pub scale: Option<f64>,
 }
 
-/// Measure what the router adds: the same requests straight to engine
-/// stand-ins and through a daemon, in turn, in one process.
+/// Measure the latency that the router adds: send the same requests alternately straight to the
+/// engine stand-ins and through a daemon, in one process.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "latency")]
 pub struct LatencyArgs {
-    /// requests each way [default 300]
+    /// requests on each path [default 300]
     #[argh(option, default = "300")]
     pub requests: u32,
 }
--- a/crates/umberglade/src/cli/gateway.rs
+++ b/crates/umberglade/src/cli/gateway.rs
@@ -9,14 +9,15 @@
     /// path of the platform's settings file [UMBERGLADE_NODE_FILE]
     #[argh(option)]
     pub node_file: Option<String>,
-    /// threads of the pool [UMBERGLADE_THREADS, default 1]
+    /// number of worker threads [UMBERGLADE_THREADS, default 1]
     #[argh(option)]
     pub threads: Option<usize>,
-    /// most log lines a second; more are counted and dropped [UMBERGLADE_LOG_LINES, default 400]
+    /// maximum log lines per second; further lines are counted and dropped
+    /// [UMBERGLADE_LOG_LINES, default 400]
     #[argh(option)]
     pub log_lines: Option<u32>,
-    /// port on which operators read metrics, at the address of the callers' port; 0 takes any
-    /// free one; without it they are read at the ready address only [UMBERGLADE_METRICS_PORT]
+    /// port that serves metrics, on the address of the callers' port; 0 picks any free port; when
+    /// unset, metrics are served on the ready address only [UMBERGLADE_METRICS_PORT]
     #[argh(option)]
     pub metrics_port: Option<u16>,
 }
--- a/crates/umberglade/src/cli/mod.rs
+++ b/crates/umberglade/src/cli/mod.rs
@@ -1,8 +1,7 @@
 //! The command line of `umberglade`.
 //!
-//! Every setting is a flag with an environment variable of the same name
-//! in capitals behind `UMBERGLADE_` (`--listen` / `UMBERGLADE_LISTEN`); the
-//! flag wins.
+//! Every setting is a flag and an environment variable of the same name in capitals, prefixed with
+//! `UMBERGLADE_` (`--listen` / `UMBERGLADE_LISTEN`). The flag takes precedence.
 
 mod bench;
 mod gateway;
--- a/crates/umberglade/src/cli/serve.rs
+++ b/crates/umberglade/src/cli/serve.rs
@@ -21,19 +21,22 @@
     /// this instance's region [UMBERGLADE_REGION, default none]
     #[argh(option)]
     pub region: Option<String>,
-    /// longest a feed of the platform is held open, milliseconds [UMBERGLADE_FOLLOW_MS, default 1500]
+    /// milliseconds that a feed request to the platform is held open at most
+    /// [UMBERGLADE_FOLLOW_MS, default 1500]
     #[argh(option)]
     pub follow_ms: Option<u64>,
-    /// milliseconds between renewals of the daemon's lease [UMBERGLADE_MEMBER_BEAT_MS, default 5000]
+    /// milliseconds between renewals of the daemon's lease
+    /// [UMBERGLADE_MEMBER_BEAT_MS, default 5000]
     #[argh(option)]
     pub member_beat_ms: Option<u64>,
     /// seconds an idempotency record is kept [UMBERGLADE_RECORD_RETENTION_S, default 86400]
     #[argh(option)]
     pub record_retention_s: Option<u64>,
-    /// threads of the pool [UMBERGLADE_THREADS, default 1]
+    /// number of worker threads [UMBERGLADE_THREADS, default 1]
     #[argh(option)]
     pub threads: Option<usize>,
-    /// placement policy: affinity, least-loaded or round-robin [UMBERGLADE_PLACEMENT, default affinity]
+    /// placement policy: affinity, least-loaded or round-robin
+    /// [UMBERGLADE_PLACEMENT, default affinity]
     #[argh(option)]
     pub placement: Option<String>,
     /// log format: text or json [UMBERGLADE_LOG_FORMAT, default text]
@@ -41,7 +44,7 @@
     pub log_format: Option<String>,
 }
 
-/// Run daemon and stand-ins in one process on loopback, ready for curl.
+/// Run the daemon and its stand-ins in one process on loopback, for trying out with curl.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "dev")]
 pub struct DevArgs {
--- a/crates/umberglade/src/cli/standin.rs
+++ b/crates/umberglade/src/cli/standin.rs
@@ -2,7 +2,7 @@
 
 use argh::FromArgs;
 
-/// Run one stand-in of an outside system.
+/// Run a stand-in for one external system.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "standin")]
 pub struct StandinArgs {
@@ -19,7 +19,7 @@
     Plain(PlainArgs),
 }
 
-/// A plain service whose calls must not be repeated (booking-desk).
+/// A plain service whose calls must not be retried (booking-desk).
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "plain")]
 pub struct PlainArgs {
@@ -35,7 +35,7 @@
     /// failure domain [default hall-a]
     #[argh(option, default = "String::from(\"hall-a\")")]
     pub domain: String,
-    /// host:port of the platform stand-in to enter this server in its instance list
+    /// host:port of the platform stand-in to whose instance list this server is added
     #[argh(option)]
     pub register_with: Option<String>,
     /// log format: text or json [UMBERGLADE_LOG_FORMAT, default text]
@@ -80,19 +80,19 @@
     /// region [default none]
     #[argh(option, default = "String::new()")]
     pub region: String,
-    /// host:port of the platform stand-in to enter this server in its instance list
+    /// host:port of the platform stand-in to whose instance list this server is added
     #[argh(option)]
     pub register_with: Option<String>,
-    /// requests held at once [default 20]
+    /// maximum requests held at the same time [default 20]
     #[argh(option)]
     pub slots: Option<u32>,
-    /// microseconds per prompt token of prefill [default 20]
+    /// microseconds of prefill per prompt token [default 20]
     #[argh(option)]
     pub prefill_us: Option<u64>,
-    /// milliseconds per decode step of a request alone [default 8]
+    /// milliseconds per decode step of a request that runs alone [default 8]
     #[argh(option)]
     pub decode_ms: Option<u64>,
-    /// refuse orders with an old fencing number: true or false [default true]
+    /// reject orders with an old fencing token: true or false [default true]
     #[argh(option, default = "true")]
     pub checks_fence: bool,
     /// log format: text or json [UMBERGLADE_LOG_FORMAT, default text]
--- a/crates/umberglade/src/dev.rs
+++ b/crates/umberglade/src/dev.rs
@@ -1,6 +1,5 @@
-//! `umberglade dev`: the daemon and every stand-in in one process on
-//! loopback, seeded with the three presets and two organisations, so one
-//! command shows the whole path.
+//! `umberglade dev`: the daemon and every stand-in in one process on loopback, seeded with the
+//! three presets and two organisations, so that one command runs the complete request path.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -20,15 +19,14 @@
 
 const DEV_THREADS: usize = 4;
 
-/// The presets seeded in dev, as shipped in `presets/`; the first is put
-/// in force.
+/// The presets seeded in dev, as shipped in `presets/`; the first one is activated.
 const PRESETS: [(&str, &str); 3] = [
     ("ordinary", include_str!("../../../presets/ordinary.toml")),
     ("peak", include_str!("../../../presets/peak.toml")),
     ("maintenance", include_str!("../../../presets/maintenance.toml")),
 ];
 
-/// The engines of dev: (server, role, failure domain).
+/// The engines of the dev setup: (server, role, failure domain).
 const ENGINES: [(&str, EngineRole, &str); 4] = [
     ("brief-p1", EngineRole::Prefill, "hall-a"),
     ("brief-p2", EngineRole::Prefill, "hall-b"),
@@ -36,11 +34,11 @@
     ("brief-d2", EngineRole::Decode, "hall-c"),
 ];
 
-/// Organisations of dev and their API keys.
+/// Organisations of the dev setup and their API keys.
 const ORGANISATIONS: [(&str, &str); 2] =
     [("neulanjalki", "dev-key-neulanjalki"), ("glenmorrow", "dev-key-glenmorrow")];
 
-/// Starts everything and serves until stopped.
+/// Starts the daemon and all stand-ins and serves until stopped.
 pub fn run(args: DevArgs) -> Result<(), StartError> {
     logging::init(args.log_format.clone())?;
     let listen: SocketAddr =
--- a/crates/umberglade/src/experiment.rs
+++ b/crates/umberglade/src/experiment.rs
@@ -1,4 +1,4 @@
-//! `umberglade experiment`: policies side by side, and the files written.
+//! `umberglade experiment`: compares placement policies and writes the result files.
 
 use std::fs;
 use std::io;
@@ -20,7 +20,7 @@
 /// Threads shared by callers, daemons and stand-ins.
 const EXPERIMENT_THREADS: usize = 6;
 
-/// Runs the experiment and writes its files.
+/// Runs the experiment and writes its result files.
 pub fn run(args: ExperimentArgs) -> Result<(), StartError> {
     logging::init_errors_only();
     let mut workload = read_workload(&args.workload)?;
--- a/crates/umberglade/src/gateway.rs
+++ b/crates/umberglade/src/gateway.rs
@@ -1,4 +1,4 @@
-//! `umberglade gateway`: one instance of the users' platform.
+//! `umberglade gateway`: the gateway of one instance of the users' platform.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -23,8 +23,8 @@
 use crate::setting::StartError;
 
 const DEFAULT_THREADS: usize = 1;
-/// Log lines a second: some ten times what an instance of a small site
-/// writes on an ordinary day, at most 150 KB a second.
+/// Log lines per second: about ten times what an instance of a small site writes on an ordinary
+/// day, and at most 150 KB a second.
 const DEFAULT_LOG_LINES: u32 = 400;
 
 /// Reads the settings file, then serves until SIGTERM or SIGINT.
@@ -52,7 +52,8 @@
     pool::block_on(serve(path, settings))
 }
 
-/// Where metrics are read besides the ready address; `None` unless asked for.
+/// Returns the address that serves metrics in addition to the ready address, or `None` if no
+/// metrics port is set.
 fn metrics_address(
     port: Option<u16>,
     settings: &GatewaySettings,
@@ -78,26 +79,25 @@
     Ok(())
 }
 
-/// Reads the settings file again. What it may change while a process runs
-/// takes part in nothing but the next start, so only its soundness is
-/// checked and told.
+/// Reads the settings file again. Changed settings take effect only at the next start, so the file
+/// is only validated and the result logged.
 fn reload(path: &Path, state: &Arc<GatewayState>) {
     match node_file::read(path) {
         Ok(settings) => {
-            // The flag, not the file, says where metrics are read.
+            // The metrics address comes from the flag, not from the file.
             let settings = GatewaySettings { metrics: state.settings.metrics, ..settings };
             tracing::info!(
                 event = events::SETTINGS_RELOADED,
                 path = %path.display(),
                 changed = settings != state.settings,
-                "settings read again"
+                "settings file reloaded"
             );
         }
         Err(error) => tracing::error!(
             event = events::SETTINGS_REJECTED,
             path = %path.display(),
             %error,
-            "settings not usable; the old ones stay"
+            "settings file is invalid; keeping the current settings"
         ),
     }
 }
--- a/crates/umberglade/src/latency.rs
+++ b/crates/umberglade/src/latency.rs
@@ -1,4 +1,4 @@
-//! `umberglade latency`: what the router adds to a request.
+//! `umberglade latency`: measures the latency that the router adds to a request.
 
 use umberglade_bench::latency;
 use umberglade_bench::latency::PathLatencies;
@@ -10,10 +10,10 @@
 
 /// Threads shared by caller, daemon and stand-ins.
 const LATENCY_THREADS: usize = 4;
-/// Most requests of one run.
+/// Maximum requests of one run.
 const MAX_REQUESTS: u32 = 10_000;
 
-/// Measures and prints both ways and their ratio.
+/// Measures the direct and the routed path and prints both and their ratio.
 pub fn run(args: LatencyArgs) -> Result<(), StartError> {
     logging::init_errors_only();
     pool::start(LATENCY_THREADS);
--- a/crates/umberglade/src/log_rate_limit.rs
+++ b/crates/umberglade/src/line_limit.rs
@@ -1,4 +1,4 @@
-//! Bounds how many log lines are written a second.
+//! Limits the number of log lines written per second.
 
 use std::io;
 use std::io::Write;
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 use umberglade_gateway::events;
 
-/// The span over which lines are counted.
+/// The window over which lines are counted.
 const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
@@ -18,31 +18,30 @@
     started_at: Instant,
     written: u32,
     dropped: u64,
-    /// Lines lost behind this limit up to the window's beginning.
+    /// Lines dropped by the queue behind this limit, as of the window's start.
     queue_dropped: u64,
-    /// Lines dropped up to the window's beginning, since the start: told
-    /// each time, because the line that tells may itself be lost.
+    /// Lines dropped between process start and the window's start. Every report of dropped lines
+    /// includes this total, because the reporting line may itself be dropped.
     total: u64,
 }
 
-/// Passes on a bounded number of lines a second.
+/// Forwards a bounded number of lines per second.
 ///
-/// Guards against logs taking the processor from requests: a burst or a
-/// server that fails everything would otherwise write as much as it is
-/// sent. Each window that dropped lines is followed by one line that says
-/// how many, and a counter adds them up.
+/// Prevents logging from taking processor time from requests: in a burst, or when a server fails
+/// every request, the log would otherwise grow with the request rate. Each window with dropped
+/// lines is followed by one line that reports their number, and a counter adds them up.
 #[derive(Debug)]
-pub struct LogRateLimit<W> {
+pub struct LineLimit<W> {
     inner: W,
     per_window: u32,
-    /// Lines that found the queue behind `inner` full.
+    /// Counts lines dropped because the queue behind `inner` was full.
     queue_drops: ErrorCounter,
     count: Mutex<WindowCounts>,
 }
 
-impl<W> LogRateLimit<W> {
-    /// A limit of `lines_per_s` on what is written to `inner`, whose own
-    /// losses `overflow` counts.
+impl<W> LineLimit<W> {
+    /// Limits what is written to `inner` to `lines_per_s`; `queue_drops` counts the lines that
+    /// `inner` itself drops.
     pub fn new(inner: W, queue_drops: ErrorCounter, lines_per_s: u32) -> Self {
         let count = WindowCounts {
             started_at: Instant::now(),
@@ -51,12 +50,12 @@
             queue_dropped: 0,
             total: 0,
         };
-        LogRateLimit { inner, per_window: lines_per_s, queue_drops, count: Mutex::new(count) }
+        LineLimit { inner, per_window: lines_per_s, queue_drops, count: Mutex::new(count) }
     }
 
-    /// Whether one more line may be written, and how many were dropped in
-    /// the window that has just ended, and
-    /// since the start.
+    /// Returns whether one more line may be written, the number of lines dropped in the window
+    /// that has just ended (0 if none has), and the number dropped from process start to the
+    /// current window's start.
     fn admit(&self) -> (bool, u64, u64) {
         let mut count = self.count.lock().expect("line count lock");
         let mut dropped = 0;
@@ -84,11 +83,11 @@
     }
 }
 
-/// One line's writer; `None` when the line is dropped.
+/// Writer for one line; holds `None` when the line is dropped.
 #[derive(Debug)]
-pub struct LineWriter<W>(Option<W>);
+pub struct LimitedLineWriter<W>(Option<W>);
 
-impl<W: Write> Write for LineWriter<W> {
+impl<W: Write> Write for LimitedLineWriter<W> {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.as_mut().map_or(Ok(bytes.len()), |inner| inner.write(bytes))
     }
@@ -98,8 +97,8 @@
     }
 }
 
-impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for LogRateLimit<W> {
-    type Writer = LineWriter<W::Writer>;
+impl<'a, W: MakeWriter<'a>> MakeWriter<'a> for LineLimit<W> {
+    type Writer = LimitedLineWriter<W::Writer>;
 
     fn make_writer(&'a self) -> Self::Writer {
         let (is_admitted, dropped, total) = self.admit();
@@ -108,9 +107,9 @@
             let line = format!(
                 "{{\"level\":\"WARN\",\"event\":{event},\"dropped\":{dropped},\"total\":{total},\"message\":\"log lines dropped\"}}\n"
             );
-            // A log that can't be written has no place to say so.
+            // A failure to write the log cannot be reported anywhere.
             let _ = self.inner.make_writer().write_all(line.as_bytes());
         }
-        LineWriter(is_admitted.then(|| self.inner.make_writer()))
+        LimitedLineWriter(is_admitted.then(|| self.inner.make_writer()))
     }
 }
--- a/crates/umberglade/src/load.rs
+++ b/crates/umberglade/src/load.rs
@@ -1,4 +1,4 @@
-//! `umberglade load`: one load against daemons that already run.
+//! `umberglade load`: runs one load against daemons that are already running.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use crate::cli::LoadArgs;
 use crate::setting::StartError;
 
-/// Threads driving the callers.
+/// Worker threads that run the callers.
 const LOAD_THREADS: usize = 4;
 
-/// Runs the load and prints a line of figures and one line of JSON.
+/// Runs the load and prints the summary as a line of text and a line of JSON.
 pub fn run(args: LoadArgs) -> Result<(), StartError> {
     require("key", !args.key.is_empty(), "give at least one --key")?;
     require("target", !args.target.is_empty(), "give at least one --target")?;
@@ -35,7 +35,7 @@
     Ok(())
 }
 
-/// Reads and checks the workload file at `path`.
+/// Reads and validates the workload file at `path`.
 pub fn read_workload(path: &str) -> Result<Workload, StartError> {
     let text = fs::read_to_string(path).map_err(|error| bad_workload(path, &error))?;
     Workload::from_toml(&text).map_err(|error| bad_workload(path, &error))
--- a/crates/umberglade/src/logging.rs
+++ b/crates/umberglade/src/logging.rs
@@ -1,4 +1,4 @@
-//! Structured logs through `tracing`: text for people, JSON for machines.
+//! Structured logs through `tracing`, as text for people or JSON for tools.
 
 use std::io::IsTerminal;
 
@@ -6,7 +6,7 @@
 use tracing_appender::non_blocking::WorkerGuard;
 use tracing_subscriber::EnvFilter;
 
-use crate::log_rate_limit::LogRateLimit;
+use crate::line_limit::LineLimit;
 use crate::setting;
 use crate::setting::StartError;
 
@@ -21,7 +21,7 @@
         .unwrap_or_else(|_| EnvFilter::new(DEFAULT_FILTER));
     let builder = tracing_subscriber::fmt()
         .with_env_filter(filter)
-        // Colour codes are for people at a terminal, not for a file.
+        // Colour codes are useful on a terminal only, not in a file.
         .with_ansi(std::io::stderr().is_terminal())
         .with_writer(std::io::stderr);
     match format.as_str() {
@@ -38,21 +38,21 @@
     Ok(())
 }
 
-/// Installs a subscriber for tools: only errors, unless `UMBERGLADE_LOG`
-/// asks for more.
+/// Installs a subscriber for command-line tools: logs only errors unless `UMBERGLADE_LOG` sets
+/// another filter.
 pub fn init_errors_only() {
     let filter =
         EnvFilter::try_from_env("UMBERGLADE_LOG").unwrap_or_else(|_| EnvFilter::new("error"));
     tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
 }
 
-/// Lines that wait for a slow reader of standard output; more are dropped.
+/// Maximum lines queued for a slow reader of standard output; further lines are dropped.
 const MAX_QUEUED_LINES: usize = 2048;
 
-/// Installs JSON lines on standard output that never block: a thread writes
-/// them, a bounded queue feeds it, and lines beyond `lines_per_s` a second
-/// or beyond the queue are dropped and counted. Keep the guard: dropping it
-/// writes out what is queued.
+/// Installs a subscriber that writes JSON lines to standard output and never blocks the caller:
+/// a thread writes the lines from a bounded queue. Lines beyond `lines_per_s` a second or beyond
+/// the queue are dropped and counted. Dropping the returned guard flushes the queue, so it must be
+/// kept while the process runs.
 pub fn init_json(lines_per_s: u32) -> WorkerGuard {
     let (writer, guard) = NonBlockingBuilder::default()
         .lossy(true)
@@ -67,7 +67,7 @@
         .flatten_event(true)
         .with_current_span(false)
         .with_target(false)
-        .with_writer(LogRateLimit::new(writer, queue_drops, lines_per_s))
+        .with_writer(LineLimit::new(writer, queue_drops, lines_per_s))
         .init();
     guard
 }
--- a/crates/umberglade/src/main.rs
+++ b/crates/umberglade/src/main.rs
@@ -1,13 +1,13 @@
-//! `umberglade`: the daemon of an entry instance, a one-process dev setup,
-//! and the stand-ins used by tests. A thin shell over the library crates.
+//! `umberglade`: the daemon of an entry instance, the gateway of a platform instance, a one-process
+//! dev setup, load tools and the stand-ins used by tests. The work is done by the library crates.
 
 mod cli;
 mod dev;
 mod experiment;
 mod gateway;
 mod latency;
+mod line_limit;
 mod load;
-mod log_rate_limit;
 mod logging;
 mod serve;
 mod setting;
--- a/crates/umberglade/src/serve.rs
+++ b/crates/umberglade/src/serve.rs
@@ -29,8 +29,7 @@
 
 const DEFAULT_THREADS: usize = 1;
 
-/// Reads the settings, then serves until SIGTERM or SIGINT, then stops
-/// gracefully.
+/// Reads the settings, serves until SIGTERM or SIGINT, then stops gracefully.
 pub fn run(args: ServeArgs) -> Result<(), StartError> {
     logging::init(args.log_format.clone())?;
     let settings = settings(&args)?;
@@ -170,7 +169,7 @@
             let _ = signals.next().await;
         }
         Err(error) => {
-            tracing::error!(%error, "cannot watch for stop signals; serving until killed");
+            tracing::error!(%error, "cannot install handlers for stop signals; serving until killed");
             futures_lite::future::pending::<()>().await;
         }
     }
--- a/crates/umberglade/src/setting.rs
+++ b/crates/umberglade/src/setting.rs
@@ -1,5 +1,5 @@
-//! Reading one setting from its flag, then its environment variable, then
-//! its default, with an error that names the setting.
+//! Reads one setting from its flag, its environment variable or its default, in this order. Errors
+//! name the setting.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -17,14 +17,13 @@
     /// The listening socket could not be bound.
     #[snafu(display("binding {addr}: {source}"))]
     Bind { addr: String, source: std::io::Error },
-    /// Something the command needs could not be done.
+    /// A step that the command needs has failed.
     #[snafu(display("{message}"))]
     Failed { message: String },
 }
 
-/// The value of setting `flag`: the flag's value if given, else the
-/// environment variable `env`, else `default`; an error when none is set
-/// or the variable does not parse.
+/// Returns the value of setting `flag`: the flag's value if given, else the environment variable
+/// `env`, else `default`. Fails if none is set or the variable does not parse.
 pub fn resolve<T>(
     flag: &'static str,
     env: &'static str,
@@ -50,7 +49,7 @@
     }
 }
 
-/// Like [`resolve`] for a value that must lie in `range`.
+/// Like [`resolve`], for a value that must lie in `range`.
 pub fn resolve_within<T>(
     flag: &'static str,
     env: &'static str,
@@ -70,7 +69,7 @@
     Err(StartError::Setting { flag, env, problem })
 }
 
-/// Like [`resolve`] for a flag given as text that must parse as `T`.
+/// Like [`resolve`], for a flag given as text that must parse as `T`.
 pub fn resolve_parsed<T>(
     flag: &'static str,
     env: &'static str,
--- a/crates/umberglade/src/standin.rs
+++ b/crates/umberglade/src/standin.rs
@@ -1,4 +1,4 @@
-//! `umberglade standin ...`: one stand-in of an outside system per process.
+//! `umberglade standin ...`: one stand-in for an external system per process.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 use crate::setting;
 use crate::setting::StartError;
 
-/// Threads of a stand-in's pool.
+/// Worker threads of a stand-in.
 const STANDIN_THREADS: usize = 2;
 
 /// Runs the platform stand-in until stopped.
@@ -46,8 +46,8 @@
     })
 }
 
-/// Runs an engine stand-in until stopped; on SIGTERM it marks itself
-/// leaving and waits for what it holds to finish (a planned stop).
+/// Runs an engine stand-in until stopped. On SIGTERM it registers as leaving and waits until the
+/// requests that it holds have finished (a planned stop).
 pub fn engine(args: EngineArgs) -> Result<(), StartError> {
     logging::init(args.log_format.clone())?;
     let listen: SocketAddr =
--- a/crates/umberglade/tests/at_most_once.rs
+++ b/crates/umberglade/tests/at_most_once.rs
@@ -1,5 +1,5 @@
-//! Non-idempotent calls (a booking) run at most once: retries, races and
-//! lost replies of the platform's table service.
+//! Non-idempotent calls such as a booking run at most once, under retries, races and lost replies
+//! of the platform's table service.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use support::set_faults;
 use support::wait_for_servers;
 
-/// A site with one booking-desk plain service beside the engines.
+/// Starts a site with engines and one server of the plain service booking-desk.
 fn site_with_booking_desk() -> (Site, Process) {
     let site = Site::start(1, 1);
     let desk = Process::start(&[
@@ -47,8 +47,9 @@
     if let Some(key) = key {
         request = request.header("Idempotency-Key", key);
     }
-    let mut response =
-        request.send(r#"{"artist":"aino","slot":"fri-14:00"}"#).expect("the daemon answers");
+    let mut response = request
+        .send(r#"{"artist":"aino","slot":"fri-14:00"}"#)
+        .expect("a response from the daemon");
     let retry_after =
         response.headers().get("retry-after").map(|value| value.to_str().unwrap().to_owned());
     let status = response.status().as_u16();
@@ -59,27 +60,26 @@
     get_json(desk, "/v1/stats")
 }
 
-/// One case: how a client sends the same booking, and what the platform
-/// does meanwhile.
+/// How a client sends the same booking several times, and how the platform behaves meanwhile.
 struct RetryCase {
     name: &'static str,
-    /// Copies of the call sent one after another with the same key.
+    /// Number of calls sent one after another with the same key.
     sequential: usize,
-    /// Copies sent at the same moment with the same key.
+    /// Number of calls sent at the same time with the same key.
     concurrent: usize,
-    /// Every write's reply to the daemon is lost after it took effect.
+    /// Every write takes effect, but its reply to the daemon is lost.
     lose_replies: bool,
 }
 
-/// A client on the phone presses "book" again because the first answer
-/// was slow, or two of its retries race, or the table service loses the
-/// replies to the idempotency record's writes. The slot must be booked
-/// once, and every answer must carry that one booking.
+/// Guards against double bookings when a client sends a call again because the first response was
+/// slow, when its retries race, or when the table service loses the replies to writes of the
+/// idempotency record. The slot must be booked once, and every successful response must carry that
+/// booking.
 #[test]
 fn booking_runs_at_most_once_under_retries() {
     let cases = [
         RetryCase {
-            name: "retry after the answer",
+            name: "retry after the response",
             sequential: 3,
             concurrent: 0,
             lose_replies: false,
@@ -119,26 +119,22 @@
         assert_eq!(stats.most_runs_of_one_key, 1, "{}: ran {stats:?}", case.name);
         let booked: Vec<&CallerResponse> =
             responses.iter().filter(|response| response.status == 200).collect();
-        assert!(!booked.is_empty(), "{}: nobody got the booking", case.name);
+        assert!(!booked.is_empty(), "{}: no call succeeded", case.name);
         assert!(
             booked.iter().all(|response| response.body == booked[0].body),
-            "{}: answers differ",
+            "{}: responses differ",
             case.name
         );
         for response in responses.iter().filter(|response| response.status != 200) {
             assert_eq!(response.status, 409, "{}: {}", case.name, response.body);
-            assert!(
-                response.retry_after.is_some(),
-                "{}: a refusal says when to come back",
-                case.name
-            );
+            assert!(response.retry_after.is_some(), "{}: a rejection has Retry-After", case.name);
         }
         thread::sleep(Duration::from_millis(10));
     }
 }
 
-/// A call to a plain service without an Idempotency-Key is refused before
-/// anything runs: the daemon could not make a retry safe.
+/// A call to a plain service without an Idempotency-Key is rejected before it runs, because the
+/// daemon cannot make its retry safe.
 #[test]
 fn call_without_idempotency_key_is_rejected_and_not_run() {
     let (site, desk) = site_with_booking_desk();
@@ -148,27 +144,27 @@
     assert_eq!(desk_stats(&desk.addr).executions, 0);
 }
 
-/// What a service does to a call, and what its caller must be told.
+/// How a service handles a call, and the status that the caller must get.
 struct ServiceCase {
     name: &'static str,
     faults: PlainFaults,
     status: u16,
     /// Runs after the first call.
     runs: u64,
-    /// The status of a retry with the same key once the service is well.
+    /// The status of a retry with the same key once the service works again.
     retry_status: u16,
     /// Runs after that retry.
     runs_after: u64,
 }
 
-/// The booking-desk refuses a call, fails halfway through it, or runs it
-/// and never answers. The client then asks again with the same key. Only
-/// the refused call may run now; the others ran, and must not again.
+/// Guards against running a call twice after a failure. The booking-desk rejects a call, fails
+/// halfway through it, or runs it and never responds, and the client retries with the same key.
+/// Only the rejected call may run on the retry; the others have run already.
 #[test]
 fn call_that_may_have_run_is_not_run_again() {
     let cases = [
         ServiceCase {
-            name: "refused",
+            name: "rejected",
             faults: PlainFaults { refuse: true, ..PlainFaults::default() },
             status: 503,
             runs: 0,
@@ -184,7 +180,7 @@
             runs_after: 1,
         },
         ServiceCase {
-            name: "answer lost",
+            name: "response lost",
             faults: PlainFaults { lose_answers: true, ..PlainFaults::default() },
             status: 504,
             runs: 1,
@@ -201,7 +197,7 @@
         assert_eq!(first.status, case.status, "{}: {}", case.name, first.body);
         assert_eq!(desk_stats(&desk.addr).executions - before, case.runs, "{}", case.name);
         post_json(&desk.addr, "/v1/faults", &PlainFaults::default());
-        // The desk is set aside for a while after a failure.
+        // The desk is ejected for a while after a failure.
         let mut retry = book(&site.daemon.addr, Some(&key));
         eventually(Duration::from_secs(3), || {
             retry = book(&site.daemon.addr, Some(&key));
@@ -213,11 +209,10 @@
     }
 }
 
-/// The table service takes the claim of a booking and goes down before it
-/// answers, so the daemon can't tell whether it holds the key. It refuses:
-/// not run. When the service is back the client tries again with the same
-/// key: the orphaned claim must not stand in its way, and the booking runs
-/// exactly once.
+/// The table service stores the claim of a booking and becomes unavailable before it replies, so
+/// the daemon can't tell whether it holds the key and rejects the call as not run. When the service
+/// is available again the client retries with the same key: the orphaned claim must not block it,
+/// and the booking runs exactly once.
 #[test]
 fn orphaned_claim_does_not_block_its_key() {
     let (site, desk) = site_with_booking_desk();
@@ -238,12 +233,12 @@
         last = book(&site.daemon.addr, Some("orphan")).status;
         last == 200
     });
-    assert!(booked, "the key stayed blocked: last answer {last}");
+    assert!(booked, "the key stayed blocked: last status {last}");
     assert_eq!(desk_stats(&desk.addr).executions, 1);
 }
 
-/// A lookup may be repeated: when one of two desks is down, every lookup
-/// is still answered, by the other.
+/// A lookup may be retried: when one of two desks rejects all work, the other one still answers
+/// every lookup.
 #[test]
 fn lookups_fail_over_to_another_server() {
     let (site, desk) = site_with_booking_desk();
@@ -256,16 +251,16 @@
         let mut response = ureq::get(&format!("http://{}{path}", site.daemon.addr))
             .header("Authorization", "Bearer key-glenmorrow")
             .call()
-            .expect("every lookup is answered");
+            .expect("a response to every lookup");
         let body = response.body_mut().read_to_string().unwrap();
         assert!(body.contains(&format!("slot-{slot}")), "{body}");
     }
     drop(second);
 }
 
-/// Records of bookings pile up in the table, hundreds of them. The daemon
-/// that holds the duty clears away those past their retention, and leaves
-/// the newer ones: a retry of a recent booking still gets its answer.
+/// More than a hundred idempotency records accumulate in the table. The leader removes those past
+/// their retention and keeps newer ones, so that a retry of a recent booking still gets its
+/// response.
 #[test]
 fn expired_idempotency_records_are_removed() {
     let platform = support::start_platform("0");
--- a/crates/umberglade/tests/caller_disconnects.rs
+++ b/crates/umberglade/tests/caller_disconnects.rs
@@ -1,5 +1,5 @@
-//! No engine memory is held for a request whose caller is gone, wherever
-//! the request was when it went, or the daemon with it.
+//! Engines release the memory of a request whose caller has disconnected or whose daemon has
+//! stopped, in every stage of the request.
 
 mod support;
 
@@ -14,16 +14,16 @@
 use support::eventually;
 use support::raw_request;
 
-/// How soon after the end the engines must hold nothing.
+/// How soon after the disconnect the engines must hold nothing.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// One way for a caller to be gone.
+/// How and when a request loses its caller.
 struct DisconnectCase {
     name: &'static str,
     prefill_faults: EngineFaults,
     decode_faults: EngineFaults,
     prompt_words: usize,
-    /// Which engine must hold the request before its caller goes.
+    /// Which engine must hold the request before its caller disconnects.
     held_at: HeldAt,
     /// The daemon is killed instead of the caller hanging up.
     kill_daemon: bool,
@@ -59,11 +59,10 @@
     }
 }
 
-/// A client hangs up, or the daemon dies, at each stage of a request: while
-/// its long prompt is read (1.2 s), while its KV cache is stuck on its way,
-/// while tokens stream (4 s), while the stream has fallen silent; at engines
-/// that end work with its connection and at those that ignore it. Nobody
-/// will read the answer, so every engine must hold nothing within seconds.
+/// A client hangs up, or the daemon is killed, at each stage of a request: during a long prefill
+/// (1.2 s), during a stalled KV cache transfer, while tokens stream (4 s), and while the stream is
+/// silent. Covers engines that end work when its connection closes and engines that ignore it.
+/// Nobody will read the response, so every engine must hold nothing within seconds.
 #[test]
 fn engines_release_requests_after_disconnect() {
     let stalled = EngineFaults { stall_kv: true, ..EngineFaults::default() };
@@ -115,7 +114,11 @@
         let socket = raw_request(&site.daemon.addr, &chat(case.prompt_words, 500));
         let holder = &engines[if case.held_at == HeldAt::Prefill { 0 } else { 1 }];
         let held = || engine_stats(holder).held_requests == 1;
-        assert!(eventually(Duration::from_secs(2), held), "{}: never held", case.name);
+        assert!(
+            eventually(Duration::from_secs(2), held),
+            "{}: the engine never held the request",
+            case.name
+        );
         if case.kill_daemon {
             site.daemon.kill();
         }
@@ -131,9 +134,9 @@
     }
 }
 
-/// The daemon's machine freezes mid-answer: its sockets stay open, nothing
-/// is ever cancelled. The decode server frees the request on its own when
-/// the deadline the order carried has passed.
+/// The daemon's machine is paused in the middle of a response: its sockets stay open and nothing is
+/// cancelled. The decode server releases the request on its own when the deadline carried by the
+/// order has passed.
 #[test]
 fn engines_release_requests_of_a_paused_daemon_at_the_deadline() {
     let site = Site::start(1, 1);
--- a/crates/umberglade/tests/end_to_end.rs
+++ b/crates/umberglade/tests/end_to_end.rs
@@ -1,6 +1,5 @@
-//! The whole path as separate processes: a platform stand-in, engine
-//! stand-ins and a daemon, each its own process on loopback, driven by a
-//! plain HTTP client.
+//! End-to-end tests with a platform stand-in, engine stand-ins and a daemon, each its own process
+//! on loopback, driven by a plain HTTP client.
 
 mod support;
 
@@ -15,7 +14,7 @@
 use support::post;
 use support::sse_text;
 
-/// The text a caller must receive for `messages` and `max_tokens`.
+/// Returns the text that a caller must receive for `messages` and `max_tokens`.
 fn expected_response(messages: &[ChatMessage], max_tokens: u32) -> String {
     let seed = chat_shape(messages).digest;
     (0..max_tokens).map(|index| answer_token(seed, index)).collect()
@@ -26,8 +25,8 @@
         .to_string()
 }
 
-/// Many callers of two organisations at once, streaming and not: each
-/// gets the whole answer to its own prompt, and nobody else's.
+/// Many callers of two organisations send streamed and non-streamed requests at the same time. Each
+/// gets the complete response to its own prompt and nothing of another caller's.
 #[test]
 fn each_caller_gets_its_own_complete_response() {
     let site = Site::start(2, 2);
@@ -64,26 +63,26 @@
             assert!(done, "stream must end in [DONE]: {}", response.body);
             assert_eq!(text, expected);
         } else {
-            let whole: serde_json::Value = serde_json::from_str(&response.body).unwrap();
-            assert_eq!(whole["choices"][0]["message"]["content"], expected.as_str());
+            let complete: serde_json::Value = serde_json::from_str(&response.body).unwrap();
+            assert_eq!(complete["choices"][0]["message"]["content"], expected.as_str());
         }
     }
 }
 
-/// One case of a request the daemon must refuse, and how.
+/// A request that the daemon must reject, and the expected response.
 struct RejectionCase {
     name: &'static str,
     path: &'static str,
     key: &'static str,
     body: &'static str,
     status: u16,
-    /// Whether the refusal tells the caller when to come back.
+    /// Whether the rejection has a `Retry-After` header.
     retry_after: bool,
-    /// Text the error message must contain.
+    /// Text that the error message must contain.
     expected_text: &'static str,
 }
 
-/// Bad input gets a clear error, and the daemon keeps serving afterwards.
+/// Invalid input gets a clear error, and the daemon keeps serving afterwards.
 #[test]
 fn invalid_requests_get_clear_errors() {
     let cases = [
--- a/crates/umberglade/tests/gateway_process.rs
+++ b/crates/umberglade/tests/gateway_process.rs
@@ -1,5 +1,5 @@
-//! `umberglade gateway` as a process before a stand-in site: its settings,
-//! signals and log.
+//! Tests `umberglade gateway` as a process in front of a stand-in site: its settings, signals, log
+//! and metrics.
 
 use std::io::BufRead;
 use std::io::BufReader;
@@ -22,7 +22,7 @@
 use umberglade_platform_standin::Site;
 use umberglade_wire::pool;
 
-/// Longer than anything here takes: tells a hang from an answer.
+/// Longer than any step of these tests takes, so that exceeding it means a hang.
 const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A gateway and its standard output; killed when dropped.
@@ -36,7 +36,7 @@
 
 impl Drop for Gateway {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.node_file);
@@ -44,8 +44,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that writes at most `log_lines` a second, and waits
-    /// until it serves.
+    /// Starts a gateway that writes at most `log_lines` a second, and waits until it serves.
     fn start(name: &str, store: &str, log_lines: &str) -> Gateway {
         let file = format!("umberglade-node-{}-{name}.yaml", std::process::id());
         let node_file = std::env::temp_dir().join(file);
@@ -65,7 +64,7 @@
         gateway
     }
 
-    /// The next line of event `number`.
+    /// Returns the next log line of event `number`.
     fn next_event(&mut self, number: u64) -> serde_json::Value {
         let deadline = Instant::now() + HANG_TIMEOUT;
         let mut line = String::new();
@@ -89,7 +88,7 @@
         assert!(status.success());
     }
 
-    /// The status of one call.
+    /// Sends one call and returns its status.
     fn call(&self, agent: &ureq::Agent, path: &str, id: &str) -> u16 {
         let response = agent
             .post(format!("http://{}{path}", self.front))
@@ -97,7 +96,7 @@
             .header("x-request-id", id)
             .header("x-timeout-ms", "3000")
             .send("hello")
-            .expect("an answer");
+            .expect("a response");
         response.status().as_u16()
     }
 }
@@ -119,12 +118,12 @@
     ureq::Agent::new_with_config(config)
 }
 
-/// A site served by a thread of this process; its store's address.
+/// Starts a site on a thread of this process and returns its store's address.
 fn start_site() -> String {
     start_site_with(ServerOptions::default())
 }
 
-/// Like [`start_site`], with servers set up by `options`.
+/// Like [`start_site`], with servers configured by `options`.
 fn start_site_with(options: ServerOptions) -> String {
     let (sender, receiver) = mpsc::channel();
     thread::spawn(move || {
@@ -137,15 +136,14 @@
     receiver.recv_timeout(HANG_TIMEOUT).expect("a started site")
 }
 
-/// Whoever reads the log stops reading, and the pipe fills. Requests must be
-/// answered as before: lines are dropped instead, and the log says so once
-/// it is read again.
+/// The reader of the log stops reading and the pipe fills up. Requests must still be answered:
+/// lines are dropped instead, and the log reports this once it is read again.
 #[test]
 fn unread_log_does_not_block_requests() {
     let store = start_site();
     let mut gateway = Gateway::start("stalled", &store, "100000");
-    // 6,000 lines of some 450 bytes: more than twice what a pipe and the
-    // queue of 2,048 lines hold.
+    // 6,000 lines of about 450 bytes: more than twice what a pipe and the queue of 2,048 lines
+    // hold.
     thread::scope(|scope| {
         for caller in 0..6 {
             let gateway = &gateway;
@@ -169,15 +167,15 @@
     assert_eq!(gateway.next_event(7003)["in_flight"], 0);
 }
 
-/// More lines come than may be written a second: the rest is dropped, and
-/// one line says how many.
+/// More lines are logged than the limit per second: the rest is dropped, and one line reports how
+/// many.
 #[test]
 fn log_lines_beyond_the_limit_are_counted() {
     let store = start_site();
     let mut gateway = Gateway::start("limited", &store, "20");
     let agent = agent();
     let (mut dropped, mut total) = (0, 0);
-    // On a busy machine a round of calls takes some seconds, each with a line.
+    // On a busy machine a round of calls takes several seconds, and each second logs a line.
     while total < 100 {
         for at in 0..100 {
             gateway.call(&agent, "/safe/x", &format!("id-{at}"));
@@ -187,12 +185,12 @@
         let line = gateway.next_event(7006);
         dropped += line["dropped"].as_u64().expect("a number");
         total = line["total"].as_u64().expect("a number");
-        assert_eq!(dropped, total, "each is counted once");
+        assert_eq!(dropped, total, "each dropped line is counted once");
     }
 }
 
-/// The settings file changes to something that can't be used. A process that
-/// took it, or ended, would cut callers for an operator's typing error.
+/// The settings file becomes invalid. A process that applied it or exited would cut off callers
+/// because of an operator's typing error.
 #[test]
 fn invalid_settings_file_is_ignored_at_reload() {
     let store = start_site();
@@ -243,10 +241,10 @@
     (output.status.code(), String::from_utf8_lossy(&output.stderr).into_owned())
 }
 
-/// A caller reads its stream slowly while the instance is stopped by plan. The
-/// server has sent all of it and the gateway has handed the last event over,
-/// but the connection has not written it out when the stop's least time is
-/// over. The caller must still get the whole answer.
+/// A caller reads its stream slowly during a planned stop of the instance. The server has sent the
+/// complete response and the gateway has handed the last event to the connection, but the
+/// connection has not written it out when the stop's minimum time is over. The caller must still
+/// get the complete response.
 #[test]
 fn stop_waits_until_responses_are_written() {
     const EVENT_BYTES: usize = 2_000_000;
@@ -261,17 +259,17 @@
     caller.write_all(request.as_bytes()).expect("sending the request");
     thread::sleep(Duration::from_millis(500));
     gateway.signal("-TERM");
-    // Longer than the least time of a stop, shorter than its grace.
+    // Longer than the minimum time of a stop, shorter than its grace period.
     thread::sleep(Duration::from_millis(4500));
     let mut response = Vec::new();
-    caller.read_to_end(&mut response).expect("an answer until the connection closes");
+    caller.read_to_end(&mut response).expect("a response until the connection closes");
     assert!(response.ends_with(b"0\r\n\r\n"), "cut after {} bytes", response.len());
     assert!(response.len() > 8 * EVENT_BYTES, "only {} bytes", response.len());
 }
 
-/// Operators scrape an instance whose callers send paths and ids of all sorts.
-/// A label that took its value from a request would make a series of each, and
-/// the scraper, then the instance, would run out of memory.
+/// Operators scrape an instance whose callers send arbitrary paths and ids. A label whose value
+/// came from a request would create a series per value, and first the scraper, then the instance,
+/// would run out of memory.
 #[test]
 fn metrics_are_valid_with_a_bounded_number_of_series() {
     let store = start_site();
@@ -280,7 +278,7 @@
     let paths = ["/safe/", "/once/", "/stream/", "/nowhere/"];
     let scrape = || {
         let url = format!("http://{}/metrics", gateway.metrics);
-        let mut response = agent.get(url).call().expect("an answer");
+        let mut response = agent.get(url).call().expect("a response");
         response.body_mut().read_to_string().expect("text")
     };
     for round in 0..3 {
@@ -295,7 +293,7 @@
     }
 }
 
-/// The labels of the gateway's metrics, with every value that they may have.
+/// The labels of the gateway's metrics, each with all allowed values.
 const LABELS: [(&str, &[&str]); 7] = [
     ("call", &["put", "claim", "remove", "store listing", "store feed", "store look"]),
     ("failure", &["unsent", "not_run", "misdirected", "silent", "broken", "garbled"]),
@@ -325,7 +323,7 @@
     ("table", &["configuration", "servers", "members", "duties", "quarantines"]),
 ];
 
-/// `name{label="value",...} number`, or a comment.
+/// Checks that `line` is `name{label="value",...} number` with known labels, a comment or empty.
 fn check_exposition_line(line: &str) {
     if line.is_empty() || line.starts_with("# TYPE ") || line.starts_with("# HELP ") {
         return;
@@ -347,6 +345,6 @@
         let value = value.unwrap_or_else(|| panic!("a value without quotes: {line}"));
         let known = LABELS.iter().find(|(name, _)| *name == label);
         let (_, values) = known.unwrap_or_else(|| panic!("an unknown label: {line}"));
-        assert!(values.contains(&value), "a value that is none of ours: {line}");
+        assert!(values.contains(&value), "an unknown label value: {line}");
     }
 }
--- a/crates/umberglade/tests/golden_session.rs
+++ b/crates/umberglade/tests/golden_session.rs
@@ -1,6 +1,5 @@
-//! A whole session against a golden file: requests in, answers and log
-//! events out. Set `UPDATE_GOLDEN=1` to write the file anew, and read the
-//! difference before committing it.
+//! Compares the responses and log events of a session with a golden file. Set `UPDATE_GOLDEN=1` to
+//! rewrite the file, and review the difference before committing it.
 
 mod support;
 
@@ -17,7 +16,7 @@
 use support::start_platform;
 use support::wait_for_servers;
 
-/// Fields of log events that differ from run to run.
+/// Fields of log events that differ between runs.
 const VARYING_FIELDS: [&str; 9] = [
     "timestamp",
     "level",
@@ -30,10 +29,10 @@
     "message",
 ];
 
-/// The events that a daemon logs by itself after its start, in this order.
+/// Events that a daemon logs in the background after its start, in this order.
 const MEMBERS_CHANGED_EVENT: u64 = 3004;
 const LEADER_CHANGED_EVENT: u64 = 4001;
-/// How long the log must stay as it is to be whole.
+/// The log is complete when it has not grown for this long.
 const LOG_SETTLE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// One request of the session.
@@ -103,7 +102,8 @@
     if let Some(key) = step.idempotency_key {
         request = request.header("idempotency-key", key);
     }
-    let mut response = agent.run(request.body(step.body).unwrap()).expect("the daemon answers");
+    let mut response =
+        agent.run(request.body(step.body).unwrap()).expect("a response from the daemon");
     let mut text = format!("< {}", response.status().as_u16());
     for name in ["retry-after", "idempotent-replay", "content-type"] {
         if let Some(value) = response.headers().get(name) {
@@ -117,8 +117,8 @@
     text
 }
 
-/// The log once nothing more is written to it: on a busy machine the last
-/// event of a step comes a while after its answer.
+/// Returns the log once it stops growing. On a busy machine the last event of a step is logged some
+/// time after its response.
 fn wait_for_stable_log(read_log: impl Fn() -> String) -> String {
     let mut log = read_log();
     loop {
@@ -131,14 +131,13 @@
     }
 }
 
-/// The number of a log line's event.
+/// Returns the event number of a log line.
 fn event_number(line: &str) -> Option<u64> {
     let event: serde_json::Value = serde_json::from_str(line).ok()?;
     event.get("event")?.as_u64()
 }
 
-/// Log lines of one step as `event fields`, sorted keys, unsteady fields
-/// left out.
+/// Formats a log line as `event fields`, with sorted keys and without fields that vary.
 fn event_line(line: &str) -> Option<String> {
     let event: serde_json::Map<String, serde_json::Value> = serde_json::from_str(line).ok()?;
     event.get("event")?;
@@ -151,7 +150,7 @@
     Some(text)
 }
 
-/// Puts steady names in place of request ids and times.
+/// Replaces request ids and times, which vary between runs, by fixed names.
 fn normalise(text: &str) -> String {
     let mut names: HashMap<String, String> = HashMap::new();
     let mut out = String::new();
@@ -173,10 +172,9 @@
     out
 }
 
-/// A day's small session as callers and operators see it: streamed and
-/// whole answers, a booking made once and asked for twice, refusals of all
-/// kinds. What callers get and which numbered events the daemon logs for
-/// each step must be exactly what the golden file says.
+/// A session with streamed and non-streamed responses, a booking that is made once and retried, and
+/// all kinds of rejections. The responses and the numbered events that the daemon logs for each
+/// step must match the golden file exactly.
 #[test]
 fn session_matches_the_golden_file() {
     let platform = start_platform("0");
@@ -201,8 +199,8 @@
     );
     wait_for_servers(&daemon.addr, 3);
     let read_log = || std::fs::read_to_string(&log).unwrap();
-    // The lease and the duty are taken in their own time, the duty last: a
-    // session begun between the two finds the duty's event among its own.
+    // The daemon acquires its lease and leadership in the background, leadership last. A session
+    // started between the two would find the leadership event among its own.
     let has_event = |number| read_log().lines().any(|line| event_number(line) == Some(number));
     for background in [MEMBERS_CHANGED_EVENT, LEADER_CHANGED_EVENT] {
         support::eventually(Duration::from_secs(10), || has_event(background));
--- a/crates/umberglade/tests/invariants.rs
+++ b/crates/umberglade/tests/invariants.rs
@@ -1,6 +1,6 @@
-//! The brief's "what must always hold", each made to fail on purpose:
-//! callers leaving, operators racing, the platform going down or failing
-//! over to an old copy, servers drained, a daemon stopped.
+//! Invariants of the daemon, each tested under the fault that could break it: operators who act at
+//! the same time, a platform that is unavailable or fails over to an old copy, drained servers, a
+//! stopped daemon.
 
 mod support;
 
@@ -21,9 +21,8 @@
 
 const LONG_STREAM: &str = r#"{"model":"brief-model","stream":true,"max_tokens":300,"messages":[{"role":"user","content":"long brief"}]}"#;
 
-/// Two shifts activate a preset at the same moment, both having read the
-/// same version. Exactly one wins; the other is told of the conflict and
-/// nothing of it is written.
+/// Two operators activate a preset at the same time, both having read the same version. Exactly one
+/// succeeds; the other gets a conflict error and nothing of its change is written.
 #[test]
 fn concurrent_activations_get_one_winner_and_one_conflict() {
     let site = Site::start(1, 1);
@@ -46,9 +45,9 @@
     assert_eq!((wins, conflicts), (1, 1), "{results:?}");
 }
 
-/// The table service fails over to a copy that lost the last changes: it
-/// now says "ordinary at version 1" while daemons hold "peak at version
-/// 2". A daemon must not move back to the older preset.
+/// The table service fails over to a copy that lost the last changes: it reports "ordinary at
+/// version 1" while daemons hold "peak at version 2". A daemon must not return to the older
+/// preset.
 #[test]
 fn active_preset_never_reverts_when_the_store_loses_writes() {
     let mut site = Site::start(1, 1);
@@ -65,9 +64,8 @@
     assert_eq!(now["fence"], 2, "{now}");
 }
 
-/// The platform's table service goes down for a long stretch. Callers
-/// must still be served on the preset in force, and the daemon must say
-/// that its view is getting old.
+/// The platform's table service is unavailable for a long time. Callers must still be served with
+/// the active preset, and the daemon must report the growing age of its view.
 #[test]
 fn daemon_serves_with_last_preset_during_platform_outage() {
     let site = Site::start(1, 1);
@@ -85,9 +83,8 @@
     assert_eq!(now["preset"], "ordinary");
 }
 
-/// An operator drains a decode server before maintenance. Within a few
-/// follow rounds it must get no new work, although the instance list
-/// still shows it live.
+/// An operator drains a decode server before maintenance. Within a few feed rounds it must get no
+/// new work, although the instance list still shows it as live.
 #[test]
 fn drained_server_gets_no_new_work() {
     let site = Site::start(1, 2);
@@ -113,10 +110,9 @@
     assert_eq!(engine_stats(&drained.addr).decodes_done, before, "a drained server got new work");
 }
 
-/// A planned stop during maintenance: SIGTERM arrives while a long answer
-/// streams. The balancer's health check fails at once, new work is refused
-/// with Retry-After, the answer in flight ends whole, then the process
-/// exits.
+/// SIGTERM arrives while a long response streams, as in a planned stop during maintenance. The load
+/// balancer's health check fails at once, new work is rejected with Retry-After, the response in
+/// flight is completed, then the process exits.
 #[test]
 fn graceful_stop_completes_requests_in_flight() {
     let mut site = Site::start(1, 1);
@@ -128,7 +124,7 @@
     site.daemon.terminate();
     thread::sleep(Duration::from_millis(100));
     let health = ureq::get(&format!("http://{}/healthz", site.daemon.addr)).call();
-    assert!(health.is_err(), "health check must fail once the stop began");
+    assert!(health.is_err(), "health check must fail once the stop has started");
     let rejected = post(
         &site.daemon.addr,
         "/v1/completions",
@@ -149,9 +145,8 @@
     );
 }
 
-/// The table service applies an activation but the reply is lost. The
-/// operator's command must not report failure, nor write twice: it reads
-/// the row back and finds its own write.
+/// The table service applies an activation but the reply is lost. The operator's command must not
+/// report a failure or write twice: it reads the row back and finds its own write.
 #[test]
 fn lost_activation_reply_is_read_back_not_retried() {
     let site = Site::start(1, 1);
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership between daemons: paused past a lease, a failure domain cut
-//! off, two regions split; and the duty, held by one daemon at a time.
+//! Membership of daemons (paused past a lease, a failure domain or a region partitioned) and
+//! leadership, which one daemon holds at a time.
 
 mod support;
 
@@ -26,7 +26,7 @@
 use support::start_platform;
 use support::status;
 
-/// Daemons of these tests beat fast: a lease lasts 600 ms.
+/// Arguments for a short heartbeat interval, so that a lease lasts 600 ms.
 const SHORT_LEASE_ARGS: [&str; 4] = ["--follow-ms", "200", "--member-beat-ms", "200"];
 const LEASE: Duration = Duration::from_millis(600);
 
@@ -34,13 +34,13 @@
     status(daemon).is_ok_and(|now| now["member"] == true)
 }
 
-/// Daemons whose lease is live by the table service's clock.
+/// Returns the number of daemons whose lease is live by the table service's clock.
 fn live_members(platform: &str) -> usize {
     let lines = run(actions(platform).members(LEASE)).unwrap();
     lines.iter().filter(|line| line.is_live).count()
 }
 
-/// The daemon that holds the duty, by the row.
+/// Returns the daemon that the leader row names.
 fn leader(platform: &str) -> Option<String> {
     let list = run(actions(platform).platform.list(DUTY_TABLE)).unwrap();
     let row = list.rows.into_iter().next()?;
@@ -48,9 +48,9 @@
     Some(record.holder)
 }
 
-/// A daemon's machine is paused past its lease. The others must see it
-/// lapse; on waking it must not believe its old lease for a moment longer
-/// than it takes to ask it, and then come back by renewing.
+/// A daemon's machine is paused past its lease. The other daemon must see the lease expire. After
+/// resuming, the paused daemon must stop relying on its old lease at its first check of it, and
+/// become a member again by renewing it.
 #[test]
 fn paused_daemon_expires_and_rejoins() {
     let platform = start_platform("0");
@@ -66,19 +66,18 @@
     assert!(eventually(Duration::from_secs(1), || is_member(&paused.addr)));
 }
 
-/// Where daemons are cut off from the platform.
+/// How many daemons are partitioned from the platform.
 struct PartitionCase {
     name: &'static str,
     partitioned_daemons: usize,
     connected_daemons: usize,
 }
 
-/// A failure domain, or a whole region, loses the platform for a while;
-/// its daemons still reach their engines. An operator activates another
-/// preset meanwhile. The cut side knows that its lease lapsed and keeps the
-/// preset it had; it serves until the other side has acted under the new
-/// one, then refuses and fails its health check. Once healed it has the new
-/// preset in force within the letter's 4 s and serves again.
+/// A failure domain or a whole region loses its connection to the platform for a while; its daemons
+/// still reach their engines. An operator activates another preset meanwhile. The partitioned side
+/// sees that its lease has expired and keeps its preset. It serves until the other side has sent
+/// work under the new preset, then rejects requests and fails its health check. Once the partition
+/// ends, the new preset must be active there within the required 4 s, and it serves again.
 #[test]
 fn partitioned_daemons_keep_serving_and_catch_up() {
     let cases = [
@@ -111,11 +110,19 @@
         }
         proxy.cut();
         let expired = || live_members(&platform.addr) == case.connected_daemons;
-        assert!(eventually(Duration::from_secs(4), expired), "{}: no lapse", case.name);
+        assert!(
+            eventually(Duration::from_secs(4), expired),
+            "{}: leases did not expire",
+            case.name
+        );
         run(actions(&platform.addr).activate("peak", 1)).unwrap();
         let fence_of = |daemon: &Process| status(&daemon.addr).unwrap()["fence"].clone();
         let on_connected = || connected.iter().all(|daemon| fence_of(daemon) == 2);
-        assert!(eventually(Duration::from_secs(4), on_connected), "{}: kept side", case.name);
+        assert!(
+            eventually(Duration::from_secs(4), on_connected),
+            "{}: connected side has no new preset",
+            case.name
+        );
         let send_chat = |daemon: &Process| {
             post(&daemon.addr, "/v1/chat/completions", "key-neulanjalki", &support::chat(10, 3))
         };
@@ -123,34 +130,42 @@
             let response = send_chat(daemon);
             assert_eq!(response.status, 200, "{}: {}", case.name, response.body);
         }
-        // The kept side has acted under the new preset: the engines, which
-        // check fences, hold the cut side off from now on.
+        // The connected side has sent work under the new preset, so the engines, which check
+        // fences, reject work of the partitioned side from now on.
         for daemon in &partitioned {
             let response = send_chat(daemon);
             assert_eq!(response.status, 503, "{}: {}", case.name, response.body);
             assert!(response.retry_after.is_some());
             let health = ureq::get(&format!("http://{}/healthz", daemon.addr)).call();
-            assert!(health.is_err(), "{}: the balancer still sends callers", case.name);
+            assert!(health.is_err(), "{}: health check must fail", case.name);
         }
         for daemon in &partitioned {
-            assert_eq!(fence_of(daemon), 1, "{}: how did it hear?", case.name);
-            assert!(!is_member(&daemon.addr), "{}: believes a lapsed lease", case.name);
+            assert_eq!(
+                fence_of(daemon),
+                1,
+                "{}: a partitioned daemon got the new preset",
+                case.name
+            );
+            assert!(!is_member(&daemon.addr), "{}: relies on an expired lease", case.name);
         }
         proxy.restore();
         let caught_up = || partitioned.iter().all(|daemon| fence_of(daemon) == 2);
-        assert!(eventually(Duration::from_secs(4), caught_up), "{}: not in force", case.name);
+        assert!(
+            eventually(Duration::from_secs(4), caught_up),
+            "{}: new preset not active in time",
+            case.name
+        );
         assert!(eventually(Duration::from_secs(4), || live_members(&platform.addr) == all));
         for daemon in &partitioned {
-            assert_eq!(send_chat(daemon).status, 200, "{}: healed", case.name);
+            assert_eq!(send_chat(daemon).status, 200, "{}: after the partition", case.name);
         }
     }
 }
 
-/// The daemon that holds the duty is paused; another takes it and has a
-/// server changed by order. The paused one wakes believing it still holds
-/// the duty. This server ignores fencing numbers, so nothing but the
-/// daemon itself and the order count guards it: exactly the one order must
-/// have been taken, and the server must stay what it was ordered to be.
+/// The leader is paused; another daemon becomes leader and orders a server to change its role. The
+/// paused daemon resumes with the stale state that it is the leader. The server ignores fencing
+/// tokens, so only the daemon itself and the order's sequence number protect it: exactly one order
+/// must have been accepted, and the server must keep the role of that order.
 #[test]
 fn paused_leader_sends_no_order_after_resuming() {
     let platform = start_platform("0");
@@ -165,19 +180,19 @@
     let paused = &daemons[usize::from(first == "entry-2")];
     paused.pause();
     let taken = || leader(&platform.addr).is_some_and(|holder| holder != first);
-    assert!(eventually(Duration::from_secs(5), taken), "nobody took the duty");
+    assert!(eventually(Duration::from_secs(5), taken), "no daemon took over leadership");
     run(actions(&platform.addr).want_role("server", EngineRole::Decode)).unwrap();
     let report = || get_json::<EngineReport>(&engine.addr, "/v1/report");
     let is_decode = || report().role == EngineRole::Decode && !report().busy;
     assert!(eventually(Duration::from_secs(5), is_decode), "{:?}", report());
     paused.resume();
     std::thread::sleep(LEASE * 3);
-    assert_eq!(report().sequence, 1, "another order was taken: {:?}", report());
+    assert_eq!(report().sequence, 1, "another order was accepted: {:?}", report());
     assert_eq!(report().role, EngineRole::Decode);
-    assert_ne!(leader(&platform.addr).unwrap(), first, "the duty went back by itself");
+    assert_ne!(leader(&platform.addr).unwrap(), first, "leadership went back to the paused daemon");
 }
 
-/// One order that comes when a newer holder's has been taken.
+/// An order that arrives after a newer leader's order was accepted.
 struct StaleOrderCase {
     name: &'static str,
     checks_fence: &'static str,
@@ -185,20 +200,20 @@
     expected_sequence: u64,
 }
 
-/// An old holder's order reaches a server after a newer holder's: engines
-/// that check fencing numbers refuse it for its number, engines that
-/// ignore them for its order count. Neither carries it out.
+/// A former leader's order reaches a server after a newer leader's. Engines that check fencing
+/// tokens reject it for its token, engines that ignore them for its sequence number. Neither
+/// executes it.
 #[test]
 fn order_of_a_former_leader_is_rejected() {
     let cases = [
         StaleOrderCase {
-            name: "checks, old fence",
+            name: "checks fences, old fence",
             checks_fence: "true",
             fence: 4,
             expected_sequence: 1,
         },
         StaleOrderCase {
-            name: "ignores, old count",
+            name: "ignores fences, old sequence",
             checks_fence: "false",
             fence: 4,
             expected_sequence: 0,
@@ -219,7 +234,7 @@
         let stale = order(case.fence, case.expected_sequence, EngineRole::Prefill);
         let rejected = ureq::post(&format!("http://{engine}/v1/order"))
             .send(serde_json::to_string(&stale).unwrap())
-            .expect_err("an old holder's order must be refused");
+            .expect_err("a former leader's order must be rejected");
         assert!(matches!(rejected, ureq::Error::StatusCode(409)), "{}: {rejected}", case.name);
         assert_eq!(report().role, EngineRole::Decode, "{}", case.name);
     }
--- a/crates/umberglade/tests/propagation.rs
+++ b/crates/umberglade/tests/propagation.rs
@@ -1,5 +1,5 @@
-//! A preset is in force everywhere within seconds; a leaving server gets
-//! no new work within seconds; none of it cuts a request.
+//! An activated preset is active everywhere within seconds, and a leaving server gets no new work
+//! within seconds. Neither cuts a request.
 
 mod support;
 
@@ -27,26 +27,25 @@
 use support::start_platform;
 use support::status;
 
-/// The letter's bound.
+/// The required bound on the time until a preset is active everywhere.
 const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How the platform behaves while operators act.
+/// How the platform behaves while operators activate presets.
 struct ActivationCase {
     name: &'static str,
     faults: FaultPlan,
-    /// Activations in quick succession.
+    /// Number of activations in quick succession.
     changes: u64,
 }
 
-/// Shifts activate presets, once or many times in a row, while the
-/// platform is well, slow, or losing every reply to a write. Each accepted
-/// activation must be in force on every daemon within 4 s of the last, and
-/// no daemon may ever show an older fence after a newer one.
+/// Operators activate presets, once or many times in a row, while the platform works, is slow, or
+/// loses every reply to a write. The accepted activations must be active on every daemon within 4 s
+/// of the last one, and no daemon may show an older fence after a newer one.
 #[test]
 fn accepted_preset_reaches_every_daemon_in_time() {
     let cases = [
-        ActivationCase { name: "platform well", faults: FaultPlan::default(), changes: 1 },
-        ActivationCase { name: "a storm of changes", faults: FaultPlan::default(), changes: 20 },
+        ActivationCase { name: "platform works", faults: FaultPlan::default(), changes: 1 },
+        ActivationCase { name: "many changes in a row", faults: FaultPlan::default(), changes: 20 },
         ActivationCase {
             name: "platform slow",
             faults: FaultPlan { delay_ms: 700, ..FaultPlan::default() },
@@ -84,8 +83,8 @@
     }
 }
 
-/// Asks over and over until told to stop; how many asked, and the bodies
-/// of answers that were not whole.
+/// Sends requests until `stop` is set. Returns their number, and status and body of each response
+/// that was not complete.
 fn send_until_stopped(daemon: String, stop: Arc<AtomicBool>) -> (u32, Vec<String>) {
     let mut sent = 0;
     let mut broken = Vec::new();
@@ -100,22 +99,21 @@
     (sent, broken)
 }
 
-/// How a decode server goes.
+/// How a decode server is removed.
 struct RemovalCase {
     name: &'static str,
     leave: fn(&mut Process),
 }
 
-/// A decode server is stopped by plan, or dies, while four callers keep
-/// asking, and the instance list shows it only 3 s later. The planned one
-/// refuses nothing it holds; the dead one answers nothing. No caller may
-/// see a cut or refused request, and within a second no more work may be
-/// sent to the one that went.
+/// A decode server is stopped by plan or killed while four callers keep sending requests, and the
+/// instance list shows it only 3 s later. In a planned stop the server rejects nothing that it
+/// holds; a killed server answers nothing. No caller may see a cut or rejected request, and within
+/// a second no more work may be sent to the removed server.
 #[test]
 fn leaving_server_fails_no_request() {
     let cases = [
         RemovalCase { name: "planned stop", leave: |engine| engine.terminate() },
-        RemovalCase { name: "death", leave: Process::kill },
+        RemovalCase { name: "crash", leave: Process::kill },
     ];
     for case in &cases {
         let platform = start_platform("3000");
@@ -139,7 +137,7 @@
             exited = leaving.child.try_wait().unwrap().is_some();
             exited
         });
-        assert!(exited, "{}: it never ran out of work to finish", case.name);
+        assert!(exited, "{}: the server did not finish its work", case.name);
         thread::sleep(Duration::from_millis(700));
         stop.store(true, Ordering::Release);
         let mut sent = 0;
@@ -153,9 +151,9 @@
     }
 }
 
-/// An operator drains a decode server for maintenance while callers ask.
-/// The instance list goes on showing it live. Within a second it holds
-/// nothing and gets nothing, and no caller notices.
+/// An operator drains a decode server for maintenance while callers send requests. The instance
+/// list still shows it as live. Within a second it holds nothing and gets no new work, and no
+/// request fails.
 #[test]
 fn drained_server_completes_its_requests() {
     let site = Site::start(1, 2);
@@ -178,5 +176,9 @@
         let (_, broken) = caller.join().unwrap();
         assert!(broken.is_empty(), "{broken:?}");
     }
-    assert_eq!((later.held_requests, later.decodes_done), (0, done), "still got work");
+    assert_eq!(
+        (later.held_requests, later.decodes_done),
+        (0, done),
+        "a drained server held or got work"
+    );
 }
--- a/crates/umberglade/tests/responses.rs
+++ b/crates/umberglade/tests/responses.rs
@@ -1,5 +1,5 @@
-//! Each caller gets the whole answer to its own request, whatever the
-//! engines' streams carry and wherever they break.
+//! Each caller gets the complete response to its own request, whatever the engines' streams carry
+//! and wherever they break.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use support::sse_text;
 
 const MAX_TOKENS: u32 = 40;
-/// Rounds of four callers, each of whom picks one of two servers by chance.
+/// Rounds of four callers each; the server of each call is one of two, picked at random.
 const MAX_ROUNDS: usize = 20;
 
 fn messages(caller: usize) -> Vec<ChatMessage> {
@@ -33,7 +33,7 @@
     (0..MAX_TOKENS).map(|index| answer_token(seed, index)).collect()
 }
 
-/// Sends as `caller`; the text it got, and whether it was whole.
+/// Sends a request as `caller` and returns the text received and whether it was complete.
 fn send_chat(daemon: &str, caller: usize, stream: bool) -> (String, bool) {
     let body = serde_json::json!({
         "model": "brief-model",
@@ -47,22 +47,21 @@
     if stream {
         return sse_text(&response.body);
     }
-    let whole: serde_json::Value = serde_json::from_str(&response.body).unwrap();
-    (whole["choices"][0]["message"]["content"].as_str().unwrap().to_owned(), true)
+    let complete: serde_json::Value = serde_json::from_str(&response.body).unwrap();
+    (complete["choices"][0]["message"]["content"].as_str().unwrap().to_owned(), true)
 }
 
-/// What one decode server does to its streams.
+/// The faults of one decode server's streams.
 struct StreamCase {
     name: &'static str,
     faults: EngineFaults,
-    /// Its streams can't end by themselves: answers must go on elsewhere.
+    /// Its streams can't be completed, so responses must be resumed on another server.
     resumes: bool,
 }
 
-/// One of two decode servers sends lines twice, sends another request's
-/// lines in between, breaks its streams off after some tokens, or falls
-/// silent with the connection open. Eight callers of two organisations
-/// ask at once: each must get exactly its own answer, whole.
+/// One of two decode servers sends lines twice, inserts another request's lines, cuts its streams
+/// after some tokens, or goes silent with the connection open. Eight callers of two organisations
+/// send requests at the same time: each must get exactly its own response, complete.
 #[test]
 fn responses_are_complete_and_not_mixed_up_under_stream_faults() {
     let none = EngineFaults::default();
@@ -104,19 +103,18 @@
             .collect();
         for handle in callers {
             let (caller, (text, done)) = handle.join().unwrap();
-            assert!(done, "{}: caller {caller} got no whole answer: {text}", case.name);
+            assert!(done, "{}: caller {caller} got an incomplete response: {text}", case.name);
             assert_eq!(text, expected(caller), "{}: caller {caller}", case.name);
         }
         if case.resumes {
             let repeated = engine_stats(&site.engines[0].addr).repeated_tokens;
-            assert!(repeated > 0, "{}: the fault never struck", case.name);
+            assert!(repeated > 0, "{}: the fault had no effect", case.name);
         }
     }
 }
 
-/// A decode server's process dies while it streams five answers. Each
-/// answer goes on from the other server at the token that was due: the
-/// callers see a pause, none of them a cut or a token twice.
+/// A decode server's process is killed while six responses stream. Each of its responses resumes on
+/// the other server at the next token: callers may see a pause, but no cut and no duplicate token.
 #[test]
 fn responses_survive_a_decode_server_crash() {
     let mut site = Site::start(1, 2);
@@ -135,9 +133,9 @@
     }
 }
 
-/// The only decode server breaks every stream and there is no other: the
-/// answer can't be completed. The caller must see that: an error event
-/// and no `[DONE]`, or an honest status when nothing had been sent.
+/// The only decode server cuts every stream, so the response can't be completed. The caller must be
+/// able to tell: it gets an error event and no `[DONE]`, or an error status if nothing was sent
+/// yet.
 #[test]
 fn incomplete_response_is_marked_incomplete() {
     let site = Site::start(1, 1);
@@ -148,23 +146,22 @@
     assert_eq!(response.status, 200);
     assert!(!response.body.contains("[DONE]"), "{}", response.body);
     assert!(response.body.contains("answer_cut"), "{}", response.body);
-    let whole = body.replace("\"stream\":true", "\"stream\":false");
-    let response = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &whole);
+    let unstreamed = body.replace("\"stream\":true", "\"stream\":false");
+    let response = post(&site.daemon.addr, "/v1/chat/completions", "key-glenmorrow", &unstreamed);
     assert!(matches!(response.status, 502 | 503), "{}", response.body);
     assert!(response.retry_after.is_some());
 }
 
-/// One of two prefill servers sends no KV cache: its link is stalled. Only
-/// that server may be set aside for it. (Each decode server that could not
-/// fetch used to be set aside in its place, until none was left.)
+/// One of two prefill servers sends no KV cache because its link is stalled. Only that server may
+/// be ejected: if each decode server that fails to fetch were ejected in its place, none would be
+/// left.
 #[test]
 fn stalled_kv_transfer_ejects_the_prefill_server() {
     let site = Site::start(2, 2);
     let stalled = EngineFaults { stall_kv: true, ..EngineFaults::default() };
     engine_faults(&site.engines[0].addr, &stalled);
     let mut ejected = BTreeSet::new();
-    // Which server a short prompt goes to is left to chance: ask until the
-    // stalled one has had its turn.
+    // Short prompts are placed at random: send requests until the stalled server was chosen.
     for _ in 0..MAX_ROUNDS {
         ejected.append(&mut send_and_collect_ejected(&site));
         if !ejected.is_empty() {
@@ -174,8 +171,8 @@
     assert_eq!(ejected.into_iter().collect::<Vec<_>>(), ["brief-prefill-0"]);
 }
 
-/// Four callers ask at once and must get their answers; the servers seen
-/// set aside meanwhile.
+/// Sends requests from four callers at the same time, checks their responses, and returns the
+/// servers that were ejected meanwhile.
 fn send_and_collect_ejected(site: &Site) -> BTreeSet<String> {
     let callers: Vec<_> = (0..4)
         .map(|caller| {
--- a/crates/umberglade/tests/silent_connections.rs
+++ b/crates/umberglade/tests/silent_connections.rs
@@ -1,4 +1,4 @@
-//! Open connections go silent for good while new ones work.
+//! Open connections go silent permanently while new ones work.
 
 mod support;
 
@@ -26,13 +26,12 @@
 use support::start_platform;
 use support::status;
 
-/// The letter's bound on a change being in force everywhere.
+/// The required bound on the time until a change is active everywhere.
 const ACTIVATION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Something between daemon and platform loses track of the daemon's open
-/// feeds: they stay open and carry nothing. An operator then activates
-/// another preset. The daemon must notice by itself, follow on a fresh
-/// connection and have the preset in force within the letter's 4 s.
+/// A device between daemon and platform loses the state of the daemon's open feed connections: they
+/// stay open and carry nothing. An operator then activates another preset. The daemon must detect
+/// this itself, follow the feeds on a new connection and apply the preset within the required 4 s.
 #[test]
 fn preset_is_applied_in_time_when_feeds_go_silent() {
     let platform = start_platform("0");
@@ -44,24 +43,23 @@
     let started_at = Instant::now();
     run(actions(&platform.addr).activate("peak", 1)).unwrap();
     let is_applied = eventually(ACTIVATION_TIMEOUT, || status(&daemon.addr).unwrap()["fence"] == 2);
-    assert!(is_applied, "not in force after {:?}", started_at.elapsed());
+    assert!(is_applied, "preset not active after {:?}", started_at.elapsed());
 }
 
-/// A dead connection must not hold a request nearly this long.
+/// Upper bound on waiting for a response; a dead connection must delay a request far less.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Where a link to an engine goes silent.
+/// When the connection to an engine goes silent.
 struct SilentCase {
     name: &'static str,
     role: EngineRole,
-    /// The request has begun to stream when it happens.
+    /// The response already streams when the connection goes silent.
     mid_stream: bool,
 }
 
-/// The daemon's open connection to an engine goes silent: while a prompt
-/// is being read, or in the middle of a stream. The engine itself is well
-/// and takes new connections. The caller must get its whole answer, by a
-/// fresh connection, not wait for the dead one.
+/// The daemon's open connection to an engine goes silent during a prefill or in the middle of a
+/// stream. The engine itself works and accepts new connections. The caller must get its complete
+/// response over a new connection instead of waiting for the dead one.
 #[test]
 fn request_completes_when_its_connection_goes_silent() {
     let cases = [
@@ -91,8 +89,8 @@
     }
 }
 
-/// One engine of each role by itself, and one more of `role`, nearer and so
-/// chosen first, that is reached through the link returned.
+/// Starts one engine of each role, and one more of `role` that is reached through the returned
+/// proxy. The latter is in the daemon's failure domain and so is chosen first.
 fn engines_with_proxy(platform: &Process, role: EngineRole) -> (Vec<Process>, TcpProxy) {
     let unlisted =
         Process::start(&["standin", "engine", "--server", "linked", "--role", &role.to_string()]);
@@ -120,17 +118,17 @@
     (engines, proxy)
 }
 
-/// What a caller sent before its connection went silent.
+/// What a caller sends before its connection goes silent.
 struct CallerCase {
     name: &'static str,
     sent: &'static str,
-    /// What the daemon answers before it closes; empty for nothing.
+    /// The start of the daemon's response before it closes the connection; empty for none.
     response: &'static str,
 }
 
-/// Callers' connections go silent while they send: in the headers, or in
-/// the body. Neither may hold the daemon for good: it closes them, the
-/// second with an honest refusal, and a stop need not wait for them.
+/// Callers' connections go silent while they send headers or body. Neither may occupy the daemon
+/// forever: it closes both, the second after an error response, and a stop does not wait for
+/// them.
 #[test]
 fn silent_caller_connection_is_closed() {
     let cases = [
--- a/crates/umberglade/tests/support/mod.rs
+++ b/crates/umberglade/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Starting umberglade processes for tests, and talking to them.
+//! Starts umberglade processes for tests and sends requests to them.
 
 #![allow(dead_code)]
 
@@ -58,8 +58,8 @@
         Process::wait_until_listening(child)
     }
 
-    /// Like [`Process::start`], with the log from `info` on, as JSON lines,
-    /// in `log`.
+    /// Like [`Process::start`], but writes the log to the file `log`, at level `info` as JSON
+    /// lines.
     pub fn start_logged(args: &[&str], log: &std::path::Path) -> Process {
         let log = std::fs::File::create(log).expect("creating the log file");
         let child = Command::new(UMBERGLADE)
@@ -82,23 +82,23 @@
         Process { child, addr }
     }
 
-    /// Kills the process and waits for it: a crash, or a machine lost.
+    /// Kills the process and waits for its end, as in a crash or the loss of its machine.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Sends SIGTERM: a planned stop.
+    /// Sends SIGTERM, as in a planned stop.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Freezes the process: a paused machine.
+    /// Sends SIGSTOP, as when the process's machine is paused.
     pub fn pause(&self) {
         self.signal("-STOP");
     }
 
-    /// Wakes it again.
+    /// Sends SIGCONT to a paused process.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
@@ -108,9 +108,9 @@
     }
 }
 
-/// A platform stand-in, engines registered with it, presets and
-/// organisations seeded, the ordinary preset active, and one daemon. The
-/// daemon stands first so that it is dropped first.
+/// A platform stand-in with seeded presets and organisations and the `ordinary` preset active,
+/// engines registered with it, and one daemon. The daemon is the first field so that it is dropped
+/// first.
 pub struct Site {
     pub daemon: Process,
     pub engines: Vec<Process>,
@@ -127,7 +127,7 @@
         Site::start_with(prefill, decode, &[])
     }
 
-    /// Like [`Site::start`] with more arguments for every engine.
+    /// Like [`Site::start`], with additional arguments for every engine.
     pub fn start_with(prefill: usize, decode: usize, engine_args: &[&str]) -> Site {
         let platform = start_platform("0");
         let mut engines = Vec::new();
@@ -143,19 +143,19 @@
         Site { platform, engines, daemon }
     }
 
-    /// The engine `brief-{role}-{index}`, given how many prefill engines
-    /// the site has.
+    /// Returns the decode engine `brief-decode-{index}`; `prefill` is the site's number of prefill
+    /// engines.
     pub fn decode_engine(&self, prefill: usize, index: usize) -> &Process {
         &self.engines[prefill + index]
     }
 }
 
-/// A platform whose instance list lags by `lag_ms`.
+/// Starts a platform whose instance list lags by `lag_ms`.
 pub fn start_platform(lag_ms: &str) -> Process {
     Process::start(&["standin", "platform", "--listen", "127.0.0.1:0", "--instance-lag-ms", lag_ms])
 }
 
-/// An engine entered in `platform`'s instance list.
+/// Starts an engine that registers in `platform`'s instance list.
 pub fn start_engine(platform: &str, server: &str, role: &str, more: &[&str]) -> Process {
     let mut args = vec!["standin", "engine", "--server", server, "--role", role];
     args.extend(["--register-with", platform]);
@@ -163,10 +163,10 @@
     Process::start(&args)
 }
 
-/// Follow `platform` closely, as most tests' daemons do.
+/// Arguments for short feed requests to the platform, used by most tests' daemons.
 pub const SHORT_FOLLOW_ARGS: [&str; 2] = ["--follow-ms", "200"];
 
-/// A daemon of `platform`.
+/// Starts a daemon of `platform`.
 pub fn start_daemon(platform: &str, daemon_id: &str, more: &[&str]) -> Process {
     let mut args = vec!["serve", "--listen", "127.0.0.1:0", "--platform", platform];
     args.extend(["--daemon-id", daemon_id]);
@@ -174,7 +174,7 @@
     Process::start(&args)
 }
 
-/// An operator's hands on `platform`.
+/// Returns the operator actions on `platform`.
 pub fn actions(platform: &str) -> OperatorActions {
     OperatorActions {
         platform: PlatformClient::new(platform, Duration::from_secs(2)),
@@ -187,9 +187,9 @@
     umberglade_wire::pool::block_on(task)
 }
 
-/// GETs `path` and parses the JSON answer.
+/// GETs `path` and parses the JSON response.
 pub fn get_json<T: DeserializeOwned>(addr: &str, path: &str) -> T {
-    let mut response = ureq::get(&format!("http://{addr}{path}")).call().expect("an answer");
+    let mut response = ureq::get(&format!("http://{addr}{path}")).call().expect("a response");
     let text = response.body_mut().read_to_string().expect("a text body");
     serde_json::from_str(&text).expect("the JSON expected")
 }
@@ -199,10 +199,10 @@
     ureq::post(&format!("http://{addr}{path}"))
         .header("Content-Type", "application/json")
         .send(serde_json::to_string(value).expect("serialising"))
-        .expect("an answer");
+        .expect("a response");
 }
 
-/// What the engine at `addr` holds and has done.
+/// Reads what the engine at `addr` holds and has done.
 pub fn engine_stats(addr: &str) -> EngineStats {
     get_json(addr, "/v1/stats")
 }
@@ -229,8 +229,8 @@
     check()
 }
 
-/// Sends `body` to the daemon's chat route on a raw socket and returns it,
-/// to be dropped when the caller hangs up.
+/// Sends `body` to the daemon's chat route on a raw socket and returns the socket. Dropping it
+/// hangs up.
 pub fn raw_request(daemon: &str, body: &str) -> TcpStream {
     let mut socket = TcpStream::connect(daemon).expect("connecting to the daemon");
     let request = format!(
@@ -241,13 +241,13 @@
     socket
 }
 
-/// Waits for the first bytes of an answer.
+/// Waits for the first bytes of a response.
 pub fn first_bytes(socket: &mut TcpStream) {
     let mut first = [0u8; 256];
-    assert!(socket.read(&mut first).expect("an answer") > 0);
+    assert!(socket.read(&mut first).expect("a response") > 0);
 }
 
-/// A streamed chat request of `prompt_words` words for `max_tokens` tokens.
+/// Builds a streamed chat request of `prompt_words` words for `max_tokens` tokens.
 pub fn chat(prompt_words: usize, max_tokens: u32) -> String {
     serde_json::json!({
         "model": "brief-model",
@@ -258,8 +258,7 @@
     .to_string()
 }
 
-/// Joins the content deltas of an SSE answer, and whether it ends in
-/// `[DONE]`.
+/// Joins the content deltas of an SSE response and returns them with whether it holds `[DONE]`.
 pub fn sse_text(body: &str) -> (String, bool) {
     let mut text = String::new();
     let mut done = false;
@@ -276,7 +275,7 @@
     (text, done)
 }
 
-/// Seeds presets, organisations, and activates `ordinary`.
+/// Seeds presets and organisations and activates `ordinary`.
 pub fn seed(platform: &str) {
     let actions = actions(platform);
     run(async {
@@ -298,7 +297,7 @@
     });
 }
 
-/// Waits until the daemon's status lists `count` servers.
+/// Waits until the daemon's status lists `count` servers and an active preset.
 pub fn wait_for_servers(daemon: &str, count: usize) {
     for _ in 0..100 {
         if let Ok(status) = status(daemon)
@@ -309,17 +308,17 @@
         }
         std::thread::sleep(Duration::from_millis(50));
     }
-    panic!("daemon never saw {count} servers");
+    panic!("daemon did not list {count} servers in time");
 }
 
-/// The daemon's `/v1/status`.
+/// Reads the daemon's `/v1/status`.
 pub fn status(daemon: &str) -> Result<serde_json::Value, ureq::Error> {
     let mut response = ureq::get(&format!("http://{daemon}/v1/status")).call()?;
     let text = response.body_mut().read_to_string()?;
     Ok(serde_json::from_str(&text).expect("status is JSON"))
 }
 
-/// An answer as a caller sees it.
+/// A response as the caller sees it.
 pub struct CallerResponse {
     pub status: u16,
     pub retry_after: Option<String>,
@@ -335,7 +334,7 @@
         .header("Authorization", &format!("Bearer {key}"))
         .header("Content-Type", "application/json")
         .send(body)
-        .expect("the daemon answers");
+        .expect("a response from the daemon");
     let retry_after =
         response.headers().get("retry-after").map(|value| value.to_str().unwrap().to_owned());
     let status = response.status().as_u16();
--- a/crates/umberglade/tests/support/tcp_proxy.rs
+++ b/crates/umberglade/tests/support/tcp_proxy.rs
@@ -1,5 +1,5 @@
-//! A link between two processes that a test can cut or silence: it
-//! forwards TCP connections to one peer.
+//! A TCP proxy in front of one peer, with which a test can cut or silence the connections between
+//! two processes.
 
 use std::io::Read;
 use std::io::Write;
@@ -13,32 +13,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// How often a forwarder looks whether its connection went silent.
+/// How often a forwarding thread checks whether its connection was silenced.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How long a silenced connection is held open: longer than any test.
+/// How long a silenced connection is held open; longer than any test runs.
 const SILENT_HOLD_TIME: Duration = Duration::from_secs(600);
 
 #[derive(Default)]
 struct ProxyState {
     /// New connections are closed at once.
     cut: AtomicBool,
-    /// Connections with a number below this forward nothing any more, and
-    /// are never closed.
+    /// Connections with a number below this forward nothing and stay open.
     silent_below: AtomicU64,
     next_number: AtomicU64,
 }
 
-/// The link; connect to `addr` to reach the peer.
+/// The proxy; connections to `addr` reach the peer.
 pub struct TcpProxy {
     pub addr: String,
     state: Arc<ProxyState>,
 }
 
 impl TcpProxy {
-    /// A link to `peer` that forwards everything.
+    /// Starts a proxy to `peer` that forwards everything.
     pub fn to(peer: &str) -> TcpProxy {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("binding a link");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binding the proxy");
         let addr = listener.local_addr().expect("its address").to_string();
         let state = Arc::new(ProxyState::default());
         let peer = peer.to_owned();
@@ -57,19 +56,19 @@
         TcpProxy { addr, state }
     }
 
-    /// Every open connection goes silent for good; new ones work.
+    /// Silences every open connection permanently; new connections work.
     pub fn silence_open_connections(&self) {
         let next = self.state.next_number.load(Ordering::Acquire);
         self.state.silent_below.store(next, Ordering::Release);
     }
 
-    /// Open connections go silent and new ones are refused.
+    /// Silences open connections and closes new ones at once.
     pub fn cut(&self) {
         self.state.cut.store(true, Ordering::Release);
         self.silence_open_connections();
     }
 
-    /// New connections work again.
+    /// Lets new connections work again.
     pub fn restore(&self) {
         self.state.cut.store(false, Ordering::Release);
     }
@@ -93,7 +92,7 @@
     let mut buffer = [0u8; 16 * 1024];
     loop {
         if is_silent() {
-            // Held open, never used again.
+            // The connection stays open and is not used again.
             thread::sleep(SILENT_HOLD_TIME);
             return;
         }
