--- a/crates/bench/benches/decision.rs
+++ b/crates/bench/benches/decision.rs
@@ -1,5 +1,4 @@
-//! What one placement decision costs, in time and allocations, against the
-//! number of candidate servers.
+//! Measures the time and allocations of one placement decision by number of candidate servers.
 
 use std::alloc::GlobalAlloc;
 use std::alloc::Layout;
@@ -27,8 +26,9 @@
 use umberglade_wire::platform::InstanceEntry;
 use umberglade_wire::platform::InstanceState;
 
-/// Candidates of one decision: a small site, a model's share of the target
-/// (890 servers, 5 models, 2 roles: 89), all of one model.
+/// Numbers of candidates of one decision: a small site; one model's servers of one role at the
+/// target size (890 servers, 5 models, 2 roles: 89); all 445 servers of one role, if they serve
+/// one model.
 const CANDIDATES: [usize; 3] = [6, 89, 445];
 const COUNTED_DECISIONS: u64 = 1000;
 
@@ -36,7 +36,7 @@
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// SAFETY: passes every call on to the system allocator and only counts.
+// SAFETY: forwards every call to the system allocator and only counts allocations.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
@@ -71,7 +71,7 @@
 
 fn decide<P: Placement>(placement: &P, slots: &[Arc<ServerSlot>], preset: &Preset) {
     let shape = PromptShape { tokens: 5000, prefix_hash: 7, prefix_tokens: 1800, digest: 1 };
-    let need = PlacementRequest {
+    let request = PlacementRequest {
         shape: &shape,
         priority: Priority::Standard,
         preset,
@@ -82,8 +82,8 @@
         reserve: 2,
         max_local_queue_tokens: 16_000,
     };
-    black_box(placement.prefill(slots, &need));
-    black_box(placement.decode(slots, &need));
+    black_box(placement.prefill(slots, &request));
+    black_box(placement.decode(slots, &request));
 }
 
 fn bench_policy<P: Placement>(criterion: &mut Criterion, name: &str, placement: P) {
@@ -96,8 +96,8 @@
         for _ in 0..COUNTED_DECISIONS {
             decide(&placement, &slots, &preset);
         }
-        let each = (ALLOCATIONS.load(Ordering::Relaxed) - before) / COUNTED_DECISIONS;
-        println!("{name}/{count}: {each} allocations for both decisions");
+        let per_decision = (ALLOCATIONS.load(Ordering::Relaxed) - before) / COUNTED_DECISIONS;
+        println!("{name}/{count}: {per_decision} allocations for both decisions");
         group.bench_with_input(BenchmarkId::new(name, count), &slots, |bencher, slots| {
             bencher.iter(|| decide(&placement, slots, &preset));
         });
--- a/crates/umberglade/tests/golden_session.rs
+++ b/crates/umberglade/tests/golden_session.rs
@@ -1,6 +1,5 @@
-//! A whole session against a golden file: requests in, answers and log
-//! events out. Set `UPDATE_GOLDEN=1` to write the file anew, and read the
-//! difference before committing it.
+//! Compares the responses and log events of a session with a golden file. Set `UPDATE_GOLDEN=1` to
+//! rewrite the file, and review the difference before committing it.
 
 mod support;
 
@@ -17,8 +16,8 @@
 use support::start_platform;
 use support::wait_for_servers;
 
-/// Fields of log events that differ from run to run.
-const UNSTEADY: [&str; 9] = [
+/// Fields of log events that differ between runs.
+const VARYING_FIELDS: [&str; 9] = [
     "timestamp",
     "level",
     "target",
@@ -30,11 +29,11 @@
     "message",
 ];
 
-/// The events that a daemon logs by itself after its start, in this order.
-const MEMBERS_SEEN: u64 = 3004;
-const DUTY_TAKEN: u64 = 4001;
-/// How long the log must stay as it is to be whole.
-const SETTLE_TIME: Duration = Duration::from_millis(60);
+/// Events that a daemon logs in the background after its start, in this order.
+const MEMBERS_CHANGED_EVENT: u64 = 3004;
+const LEADER_CHANGED_EVENT: u64 = 4001;
+/// The log is complete when it has not grown for this long.
+const LOG_SETTLE_INTERVAL: Duration = Duration::from_millis(60);
 
 /// One request of the session.
 struct SessionStep {
@@ -103,7 +102,8 @@
     if let Some(key) = step.idempotency_key {
         request = request.header("idempotency-key", key);
     }
-    let mut response = agent.run(request.body(step.body).unwrap()).expect("the daemon answers");
+    let mut response =
+        agent.run(request.body(step.body).unwrap()).expect("a response from the daemon");
     let mut text = format!("< {}", response.status().as_u16());
     for name in ["retry-after", "idempotent-replay", "content-type"] {
         if let Some(value) = response.headers().get(name) {
@@ -117,12 +117,12 @@
     text
 }
 
-/// The log once nothing more is written to it: on a busy machine the last
-/// event of a step comes a while after its answer.
-fn settled(read_log: impl Fn() -> String) -> String {
+/// Returns the log once it stops growing. On a busy machine the last event of a step is logged some
+/// time after its response.
+fn wait_for_stable_log(read_log: impl Fn() -> String) -> String {
     let mut log = read_log();
     loop {
-        thread::sleep(SETTLE_TIME);
+        thread::sleep(LOG_SETTLE_INTERVAL);
         let later = read_log();
         if later.len() == log.len() {
             return log;
@@ -131,27 +131,26 @@
     }
 }
 
-/// The number of a log line's event.
+/// Returns the event number of a log line.
 fn event_number(line: &str) -> Option<u64> {
     let event: serde_json::Value = serde_json::from_str(line).ok()?;
     event.get("event")?.as_u64()
 }
 
-/// Log lines of one step as `event fields`, sorted keys, unsteady fields
-/// left out.
+/// Formats a log line as `event fields`, with sorted keys and without fields that vary.
 fn event_line(line: &str) -> Option<String> {
     let event: serde_json::Map<String, serde_json::Value> = serde_json::from_str(line).ok()?;
     event.get("event")?;
     let mut text = format!("! {}", event["event"]);
     for (name, value) in &event {
-        if name != "event" && !UNSTEADY.contains(&name.as_str()) {
+        if name != "event" && !VARYING_FIELDS.contains(&name.as_str()) {
             let _ = write!(text, " {name}={value}");
         }
     }
     Some(text)
 }
 
-/// Puts steady names in place of request ids and times.
+/// Replaces request ids and times, which vary between runs, by fixed names.
 fn normalise(text: &str) -> String {
     let mut names: HashMap<String, String> = HashMap::new();
     let mut out = String::new();
@@ -173,12 +172,11 @@
     out
 }
 
-/// A day's small session as callers and operators see it: streamed and
-/// whole answers, a booking made once and asked for twice, refusals of all
-/// kinds. What callers get and which numbered events the daemon logs for
-/// each step must be exactly what the golden file says.
+/// A session with streamed and non-streamed responses, a booking that is made once and retried, and
+/// all kinds of rejections. The responses and the numbered events that the daemon logs for each
+/// step must match the golden file exactly.
 #[test]
-fn a_session_is_what_the_golden_file_says() {
+fn session_matches_the_golden_file() {
     let platform = start_platform("0");
     let _engines = [
         start_engine(&platform.addr, "prefill-1", "prefill", &[]),
@@ -201,10 +199,10 @@
     );
     wait_for_servers(&daemon.addr, 3);
     let read_log = || std::fs::read_to_string(&log).unwrap();
-    // The lease and the duty are taken in their own time, the duty last: a
-    // session begun between the two finds the duty's event among its own.
+    // The daemon acquires its lease and leadership in the background, leadership last. A session
+    // started between the two would find the leadership event among its own.
     let has_event = |number| read_log().lines().any(|line| event_number(line) == Some(number));
-    for background in [MEMBERS_SEEN, DUTY_TAKEN] {
+    for background in [MEMBERS_CHANGED_EVENT, LEADER_CHANGED_EVENT] {
         support::eventually(Duration::from_secs(10), || has_event(background));
     }
     let mut seen = read_log().lines().count();
@@ -212,7 +210,7 @@
     for step in session() {
         let _ = writeln!(text, "## {}\n> {} {} {}", step.name, step.method, step.path, step.body);
         let _ = writeln!(text, "{}", send(&daemon.addr, &step));
-        let log = settled(read_log);
+        let log = wait_for_stable_log(read_log);
         for line in log.lines().skip(seen).filter_map(event_line) {
             let _ = writeln!(text, "{line}");
         }
