--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -12,9 +12,9 @@
 use umberglade_gateway::cluster::LoadShare;
 use umberglade_gateway::cluster::PeerUpdate;
 use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::place_engine;
 use umberglade_gateway::cluster::place_plain;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -60,7 +60,7 @@
     let load = LoadShare::of_stream(&SHAPE);
     let at = |index: usize| (peer * 7 + index * 31 + round) % servers;
     let loads =
-        (0..BUSY_SERVERS).map(|index| (server_digest(&format!("engine-{}", at(index))), load));
+        (0..BUSY_SERVERS).map(|index| (name_digest(&format!("engine-{}", at(index))), load));
     PeerUpdate { loads: loads.collect(), ..PeerUpdate::default() }
 }
 
@@ -85,7 +85,7 @@
     for (gateways, servers) in SIZES {
         let mut group = criterion.benchmark_group(format!("{gateways} gateways {servers} servers"));
         let mut fleet = site(gateways, servers, now);
-        let gateway = server_digest("gw-0");
+        let gateway = name_digest("gw-0");
         let need =
             |service| PlacementRequest { service, gateway, domain: &domain, tried: &[], now };
         group.bench_function("place_engine", |bench| {
--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -22,7 +22,8 @@
 /// Maximum `retry_after`: bursts last about 4 s, and a streaming caller whose wait was in vain has
 /// about 10 s left, a third of which it is willing to wait.
 const MAX_RETRY_AFTER: Duration = Duration::from_millis(3500);
-/// Minimum fraction of the placement rate that is assumed to be left beside new requests.
+/// Minimum fraction of the placement rate that is assumed to remain for queued requests beside new
+/// ones.
 const MIN_SPARE_FRACTION: f64 = 0.1;
 
 #[derive(Debug, Clone, Copy)]
@@ -31,7 +32,7 @@
     occupancy: u64,
     /// When the caller sent its first request.
     first_requested_at: Instant,
-    /// Until then, a response started now is still within its latency target.
+    /// A response to a request that is placed before this time is within its latency target.
     target_deadline: Instant,
 }
 
@@ -71,7 +72,7 @@
     /// The request's expected use of an engine: KV cache tokens times the milliseconds for which it
     /// is expected to hold them.
     pub occupancy: u64,
-    /// Until then, a response that starts is still within its latency target.
+    /// A response to a request that is placed before this time is within its latency target.
     pub target_deadline: Instant,
     /// How long the caller has been retrying, counted from its first request; zero for a new
     /// caller.
@@ -102,7 +103,7 @@
 /// Requests of one service that wait for engine capacity.
 ///
 /// Requests that can still be within their latency target go first, those of least occupancy before
-/// the others: when capacity does not suffice for all, this order serves the most callers within
+/// those of greater: when capacity does not suffice for all, this order serves the most callers within
 /// target. Requests past their target share the remaining capacity in the order of their callers'
 /// first requests, because a caller that has been rejected once does not retry a second time. In a
 /// burst longer than the target, first-come-first-served would make every response late; with this
@@ -122,7 +123,7 @@
 
 impl AdmissionQueue {
     /// Queues a request, or rejects it at once when it is predicted to wait longer than `max_wait`
-    /// for the local queue and those of its peers.
+    /// behind the local queue and those of the peers.
     ///
     /// Queues and rates of all gateways are added up because they share the engines. One of 79
     /// gateways places a request every 3 s; on its own rate alone it would reject half of the
@@ -152,7 +153,7 @@
     }
 
     /// Returns since when the holder of `ticket` has been the head of the queue, and so the one to
-    /// try for capacity; `None` while another request is.
+    /// try for capacity; `None` while it is not the head.
     pub fn head_since(&mut self, ticket: Ticket, now: Instant) -> Option<Instant> {
         let (head, _) = self.head(now)?;
         if self.last_head.is_none_or(|(last_head, _)| last_head != head) {
@@ -269,10 +270,11 @@
         self.placement_time(self.queued.len() + peers.waiting as usize, peers, now)
     }
 
-    /// Predicts how long placing `count` requests takes; zero while there is capacity.
+    /// Predicts how long placing `count` requests takes; zero while there is capacity or the rate is
+    /// unknown.
     ///
-    /// Prevents rejections before the engines are full: until then, the placement rate is that of
-    /// the callers, not of the engines. Without this condition, of 80 simultaneous callers 16 are
+    /// Prevents rejections before the engines are full: until then, the placement rate shows
+    /// how fast requests arrive, not how fast engines can take them. Without this condition, of 80 simultaneous callers 16 are
     /// rejected after four placements, while the engines have capacity for 25 more.
     fn placement_time(&self, count: usize, peers: PeerQueues, now: Instant) -> Duration {
         let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -126,7 +126,8 @@
 ) -> Candidates<'a> {
     let suitable =
         || available.iter().filter(|candidate| suits(candidate.server_state.entry.stage));
-    let healthy: Candidates<'a> = suitable().filter(|one| !one.is_ejected(now)).copied().collect();
+    let healthy: Candidates<'a> =
+        suitable().filter(|candidate| !candidate.is_ejected(now)).copied().collect();
     if healthy.is_empty() { suitable().copied().collect() } else { healthy }
 }
 
--- a/crates/gateway/src/cluster/crash_detector.rs
+++ b/crates/gateway/src/cluster/crash_detector.rs
@@ -5,18 +5,18 @@
 
 use rustc_hash::FxHashMap;
 
+use super::AttemptOutcome;
 use super::OutcomeUpdate;
 use super::QuarantineChange;
 use super::QuarantineStatus;
 use super::QuarantineVerdict;
 use super::RowChange;
-use super::SendOutcome;
-use super::broken_start::BrokenStart;
 use super::crash_record::CrashRecord;
 use super::crash_records::CrashRecords;
 use super::outcome_log::OutcomeLog;
 use super::quarantine::Quarantine;
 use super::recent_completions::RecentCompletions;
+use super::server_outage::ServerOutage;
 use crate::model::RequestFingerprint;
 use crate::model::ServerIncarnation;
 
@@ -40,11 +40,11 @@
 /// completes: one in flight, or a probe, of which there is one at a time.
 #[derive(Debug, Default)]
 pub struct CrashDetector {
-    /// When the gateway began to receive reports from peers; `None` for long ago.
+    /// When the gateway began to receive reports from peers; `None` if that is long ago.
     started_at: Option<Instant>,
     pub(super) records: CrashRecords,
     /// Server incarnations at which an attempt broke and that have not responded since.
-    broken_starts: FxHashMap<ServerIncarnation, BrokenStart>,
+    outages: FxHashMap<ServerIncarnation, ServerOutage>,
     recent: RecentCompletions,
     pub(super) log: OutcomeLog,
     pub(super) row_changes: Vec<RowChange>,
@@ -68,18 +68,18 @@
         run_duration: Duration,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        let start = self
-            .broken_starts
+        let outage = self
+            .outages
             .entry(incarnation)
-            .or_insert(BrokenStart { first_broken_at: now, last_broken_at: now });
-        if start.extends_outage(now) {
+            .or_insert(ServerOutage { first_broken_at: now, last_broken_at: now });
+        if outage.extends(now) {
             return None;
         }
         let record = self.crash_record(fingerprint, now, now);
         let crash = record.record_local_crash(incarnation, now);
         if run_duration > record.longest_run {
             record.longest_run = run_duration;
-            self.log.push(fingerprint, SendOutcome::Lived(run_duration.as_millis() as u32), now);
+            self.log.push(fingerprint, AttemptOutcome::Lived(run_duration.as_millis() as u32), now);
             self.release_long_running(now);
         }
         let id = crash?;
@@ -88,7 +88,7 @@
         if self.records.exclude_if_explained(fingerprint, id, now) {
             return None;
         }
-        self.log.push(fingerprint, SendOutcome::Crashed(id), now);
+        self.log.push(fingerprint, AttemptOutcome::Crashed(id), now);
         self.evaluate_crash(fingerprint, now)
     }
 
@@ -100,11 +100,11 @@
         incarnation: ServerIncarnation,
         now: Instant,
     ) -> Option<QuarantineChange> {
-        self.broken_starts.remove(&incarnation);
+        self.outages.remove(&incarnation);
         self.recent.record(fingerprint, now);
         let record = self.records.get_mut(fingerprint)?;
         if record.crashes() > 0 || record.quarantine.is_some() {
-            self.log.push(fingerprint, SendOutcome::Whole, now);
+            self.log.push(fingerprint, AttemptOutcome::Whole, now);
         }
         record.record_completion(now);
         self.clear(fingerprint, now)
@@ -120,29 +120,30 @@
         let at = now.checked_sub(age).unwrap_or(now);
         let since = self.warm_up_start(now);
         match update.outcome {
-            SendOutcome::Crashed(id) => {
+            AttemptOutcome::Crashed(id) => {
                 let is_new = self.crash_record(update.content, at, now).record_peer_crash(id, at);
                 if !is_new || self.records.exclude_if_explained(update.content, id, now) {
                     return None;
                 }
                 self.evaluate_crash(update.content, now)
             }
-            SendOutcome::Lived(lived_ms) => {
+            AttemptOutcome::Lived(lived_ms) => {
                 let record = self.records.get_mut(update.content)?;
                 let run_duration = Duration::from_millis(u64::from(lived_ms));
                 record.longest_run = record.longest_run.max(run_duration);
                 self.release_long_running(now);
                 None
             }
-            SendOutcome::Cleared(version) => {
+            AttemptOutcome::Cleared(version) => {
                 let record = self.records.entry(update.content);
                 record.record_void_rows(version, now);
-                let is_void = |of: &mut Quarantine| of.version > 0 && of.version <= version;
+                let is_void =
+                    |known: &mut Quarantine| known.version > 0 && known.version <= version;
                 record.quarantine.take_if(is_void)?;
                 self.records.refresh_explained();
                 Some(QuarantineChange::Cleared)
             }
-            SendOutcome::Whole => {
+            AttemptOutcome::Whole => {
                 if since.is_some() {
                     // Crashes before this completion may be reported later.
                     self.records.entry(update.content);
@@ -150,13 +151,16 @@
                 let record = self.records.get_mut(update.content)?;
                 record.record_completion(at);
                 let is_cleared = !record.is_poison_suspect(since, now)
-                    && record.quarantine.is_some_and(|of| of.version == 0 || of.since < at);
+                    && record
+                        .quarantine
+                        .is_some_and(|known| known.version == 0 || known.since < at);
                 if is_cleared { self.clear(update.content, now) } else { None }
             }
         }
     }
 
-    /// Decides on a new request. A due probe is reserved for this request for a while.
+    /// Decides whether a new request may be sent. A due probe is reserved for this request until
+    /// its claim has succeeded, failed or timed out.
     pub fn admit(&mut self, fingerprint: RequestFingerprint, now: Instant) -> QuarantineVerdict {
         let Some(info) = self.status(fingerprint, now) else { return QuarantineVerdict::Admitted };
         let record = self.records.get_mut(fingerprint);
@@ -222,7 +226,7 @@
         let shared_rank = self.records.shared_crash_rank(fingerprint);
         let rank = shared_rank.or(awaits_first_probe.then_some(0));
         let is_shared = awaits_first_probe || (shared_rank.is_some() && record.is_provisional());
-        // Only the row is known, and peers may still report more.
+        // Before peers have reported, this gateway may know no more than the row.
         let age = self.started_at.map(|started_at| now.saturating_duration_since(started_at));
         let awaits_reports =
             record.crashes() == 0 && age.is_some_and(|age| age < FIRST_REPORTS_WINDOW);
@@ -252,12 +256,12 @@
     pub fn tick(&mut self, removes_rows: bool, now: Instant) -> Vec<RequestFingerprint> {
         let mut forgotten = Vec::new();
         for (fingerprint, record) in self.records.iter_mut() {
-            if let Some(quarantine) = record.quarantine.take_if(|of| of.is_idle(now)) {
+            if let Some(quarantine) = record.quarantine.take_if(|known| known.is_idle(now)) {
                 forgotten.push((fingerprint, quarantine.version));
             }
         }
         self.records.retain(|record| record.is_live(now));
-        self.broken_starts.retain(|_, start| start.is_live(now));
+        self.outages.retain(|_, outage| outage.is_live(now));
         if !forgotten.is_empty() {
             self.records.refresh_explained();
         }
@@ -311,7 +315,7 @@
         self.exclude_explained_crashes(now);
         self.release_long_running(now);
         self.records.mark_shared();
-        // The fingerprint may have been released already.
+        // The fingerprint may have been released just now, as one of the long-running.
         self.records.get(fingerprint)?.quarantine?;
         // Every gateway that saw one of the crashes itself writes the row; the store accepts the
         // first write.
@@ -346,7 +350,7 @@
     fn release_long_running(&mut self, now: Instant) {
         for fingerprint in self.records.long_running() {
             let version = self.records.release(fingerprint, now);
-            self.log.retain_crashes(|of, _| of != fingerprint);
+            self.log.retain_crashes(|reported, _| reported != fingerprint);
             self.queue_removal(fingerprint, version, now);
             self.released.push(fingerprint);
         }
@@ -378,7 +382,7 @@
         if record.crashes() == 0 && record.quarantine.is_none() && is_recent {
             let before = at.checked_sub(MIN_COMPLETION_LEAD).unwrap_or(at);
             record.record_completion(before);
-            self.log.push(fingerprint, SendOutcome::Whole, before);
+            self.log.push(fingerprint, AttemptOutcome::Whole, before);
         }
         self.records.entry(fingerprint)
     }
--- a/crates/gateway/src/cluster/crash_record.rs
+++ b/crates/gateway/src/cluster/crash_record.rs
@@ -82,8 +82,8 @@
     }
 
     fn add(&mut self, id: CrashId, at: Instant) {
-        let place = self.crashes.partition_point(|(_, known)| *known <= at);
-        self.crashes.insert(place, (id, at));
+        let index = self.crashes.partition_point(|(_, known)| *known <= at);
+        self.crashes.insert(index, (id, at));
         if self.crashes.len() > MAX_CRASHES {
             self.crashes.remove(0);
         }
@@ -91,7 +91,7 @@
 
     /// Returns true if a server crashed under both this fingerprint and `other`.
     pub fn shares_crash(&self, other: &CrashRecord) -> bool {
-        self.crash_ids().any(|id| other.crash_ids().any(|of_other| of_other == id))
+        self.crash_ids().any(|id| other.crash_ids().any(|other_id| other_id == id))
     }
 
     /// Returns the ids of the known server crashes under the fingerprint.
@@ -99,9 +99,9 @@
         self.crashes.iter().map(|(id, _)| *id)
     }
 
-    /// Removes the server crashes that other fingerprints explain. Returns false if so many
-    /// crashes are shared with those that this may as well be the poison request, unless it
-    /// completed or was released recently.
+    /// Removes the server crashes that other fingerprints explain, and returns true. Returns
+    /// false and removes none if so many are shared with those that this may as well be the
+    /// poison request, unless it completed or was released recently.
     ///
     /// Prevents the release of a poison request when a harmless one, which was in flight at
     /// every crash, was recorded first.
@@ -149,6 +149,7 @@
         self.crashes.len()
     }
 
+    /// Returns true if the fingerprint completed or was released recently.
     fn is_trusted(&self, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < COMPLETION_RETENTION;
         self.completed_at.is_some_and(is_recent) || self.released_at.is_some_and(is_recent)
@@ -180,12 +181,12 @@
     /// Returns true while the fingerprint is quarantined and its first probes may still
     /// distinguish it from others.
     pub fn is_provisional(&self) -> bool {
-        self.quarantine.is_some_and(|of| of.probes < ISOLATION_PROBES)
+        self.quarantine.is_some_and(|known| known.probes < ISOLATION_PROBES)
     }
 
     /// Returns true while the record is worth keeping.
     pub fn is_live(&self, now: Instant) -> bool {
-        let is_within = |at: &Instant, life| now.saturating_duration_since(*at) < life;
+        let is_within = |at: &Instant, span| now.saturating_duration_since(*at) < span;
         self.quarantine.is_some()
             || self.crashes.iter().any(|(_, at)| is_within(at, CRASH_RETENTION))
             || self.is_trusted(now)
--- a/crates/gateway/src/cluster/crash_records.rs
+++ b/crates/gateway/src/cluster/crash_records.rs
@@ -81,8 +81,10 @@
         let record = self.records.get(&fingerprint)?;
         let rank = |fingerprint, record: &CrashRecord| (Reverse(record.longest_run), fingerprint);
         let shares_crashes = |other: &&(RequestFingerprint, &CrashRecord)| {
-            let (other, of) = **other;
-            other != fingerprint && of.is_provisional() && of.shares_crash(record)
+            let (other, other_record) = **other;
+            other != fingerprint
+                && other_record.is_provisional()
+                && other_record.shares_crash(record)
         };
         let quarantined: SmallVec<[_; 4]> = self.quarantined().collect();
         let others: SmallVec<[_; 4]> = quarantined.iter().filter(shares_crashes).collect();
@@ -90,7 +92,7 @@
             return None;
         }
         let own_rank = rank(fingerprint, record);
-        Some(others.iter().filter(|(other, of)| rank(*other, of) < own_rank).count())
+        Some(others.iter().filter(|(other, record)| rank(*other, record) < own_rank).count())
     }
 
     /// Marks the fingerprints that are quarantined for the same server crashes as others.
@@ -113,8 +115,10 @@
     pub fn long_running(&self) -> SmallVec<[RequestFingerprint; 2]> {
         let provisional = || self.quarantined().filter(|(_, record)| record.is_provisional());
         let is_explained = |fingerprint: RequestFingerprint, record: &CrashRecord| {
-            provisional().any(|(other, of)| {
-                other != fingerprint && record.ran_much_longer_than(of) && of.shares_crash(record)
+            provisional().any(|(other, other_record)| {
+                other != fingerprint
+                    && record.ran_much_longer_than(other_record)
+                    && other_record.shares_crash(record)
             })
         };
         let all = provisional().filter(|(fingerprint, record)| is_explained(*fingerprint, record));
@@ -131,7 +135,7 @@
             record.remove_crashes(&self.explained);
             record.released_at = Some(now);
         }
-        quarantine.map_or(0, |of| of.version)
+        quarantine.map_or(0, |ended| ended.version)
     }
 
     /// Recomputes the explained crashes after a change of the quarantined fingerprints or of
--- a/crates/gateway/src/cluster/crash_rows.rs
+++ b/crates/gateway/src/cluster/crash_rows.rs
@@ -3,10 +3,10 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::AttemptOutcome;
 use super::CrashDetector;
 use super::QuarantineChange;
 use super::RowChange;
-use super::SendOutcome;
 use super::crash_record::CrashRecord;
 use super::quarantine::Quarantine;
 use crate::model::RequestFingerprint;
@@ -51,7 +51,7 @@
         before.is_none().then_some(QuarantineChange::HeldBack)
     }
 
-    /// Applies that the store holds no row of `fingerprint` as of `version`.
+    /// Records that the store holds no row of `fingerprint` as of `version`.
     pub fn apply_missing_row(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -91,13 +91,13 @@
         now: Instant,
     ) {
         if version > 0 {
-            self.log.push(fingerprint, SendOutcome::Cleared(version), now);
+            self.log.push(fingerprint, AttemptOutcome::Cleared(version), now);
             self.queue_row_change(RowChange::Remove(fingerprint, version));
         }
     }
 
-    /// Queues a row change. A change for which there is no capacity is made up for by a probe
-    /// or by another gateway.
+    /// Queues a row change. A change for which the queue has no capacity is dropped; a probe or
+    /// another gateway makes up for it.
     pub fn queue_row_change(&mut self, change: RowChange) {
         if self.row_changes.len() < MAX_ROW_CHANGES {
             self.row_changes.push(change);
--- a/crates/gateway/src/cluster/domain_prefill_servers.rs
+++ b/crates/gateway/src/cluster/domain_prefill_servers.rs
@@ -7,7 +7,7 @@
 use crate::model::ServerKey;
 
 /// Cost of fetching the KV cache from another failure domain, in milliseconds of prefill queue.
-/// Such transfers take twice as long, and their traffic is paid for.
+/// Such transfers take twice as long, and their traffic is billed.
 const CROSS_DOMAIN_TRANSFER_MS: f64 = 120.0;
 
 /// The cheapest prefill server of each failure domain, computed once per placement. The cost of
--- a/crates/gateway/src/cluster/first_event_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -13,8 +13,8 @@
 /// Minimum weight of a new stream in the mean.
 ///
 /// When all gateways restart, callers return at once and streams take a second to start. Gateways
-/// that serve two streams a second must forget this within seconds: with 0.05 it takes 12 s, during
-/// which no stream is within its target. Noise of a few streams at one gateway is evened out by
+/// that serve two streams a second must discount those streams within seconds: with 0.05 it takes
+/// 12 s, during which no stream is within its target. Noise of a few streams at one gateway is evened out by
 /// pooling the means of all gateways.
 const MIN_SAMPLE_WEIGHT: f64 = 0.25;
 /// Maximum fraction of the latency target that a stream is assumed to need for its first event.
@@ -23,8 +23,9 @@
 /// to first-come-first-served, where new requests wait behind those past their target and become
 /// late in turn.
 const MAX_TARGET_FRACTION: f64 = 0.5;
-/// Mean deviations added to the mean, so that nine of ten streams start within the sum.
+/// Number of mean deviations added to the mean, so that nine of ten streams start within the sum.
 const DEVIATION_FACTOR: f64 = 1.6;
+
 /// Mean and mean absolute deviation of the time from placement to first event.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FirstEventTime {
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -32,7 +32,8 @@
 const STALE_READ_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// How long an engine that was ordered to change its stage receives no work unless its registration
-/// shows the change. It lets its work end, is away for about 6 s, and registers within a heartbeat.
+/// shows the change. It completes its work, is unavailable for about 6 s, and registers within a
+/// heartbeat.
 const STAGE_CHANGE_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// How long a server is skipped after stating that it is another one than its row describes. A row
@@ -111,10 +112,11 @@
         since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since))
     }
 
-    /// Returns the time until which missing rows may only have expired.
+    /// Returns when the grace period ends, until which missing rows may merely have expired; `None`
+    /// when there is none.
     fn expiry_grace_end(&self, now: Instant) -> Option<Instant> {
         let until = self.grace_until.filter(|until| now < *until)?;
-        (!self.peers.is_store_stable_at_a_peer(EXPIRY_GRACE_PERIOD, now)).then_some(until)
+        (!self.peers.is_store_stable_at_any_peer(EXPIRY_GRACE_PERIOD, now)).then_some(until)
     }
 
     /// Applies a server's row.
@@ -324,14 +326,14 @@
         before: LoadShare,
         after: LoadShare,
     ) {
-        if let Some(server_state) = self.server_at(key, incarnation) {
+        if let Some(server_state) = self.current_server_mut(key, incarnation) {
             server_state.local_load = server_state.local_load.minus(before).plus(after);
         }
     }
 
     /// Removes the load of work that has ended from an incarnation of a server.
     pub fn remove_load(&mut self, key: &str, incarnation: ServerIncarnation, work: LoadShare) {
-        if let Some(server_state) = self.server_at(key, incarnation) {
+        if let Some(server_state) = self.current_server_mut(key, incarnation) {
             server_state.local_load = server_state.local_load.minus(work);
         }
     }
@@ -344,7 +346,7 @@
         outcome: ServerOutcome,
         now: Instant,
     ) {
-        let Some(server_state) = self.server_at(key, incarnation) else { return };
+        let Some(server_state) = self.current_server_mut(key, incarnation) else { return };
         // Prevents prompts and streams from all going to a server that has been replaced at its
         // address: each is rejected and counts as a retry, 160 in 10 s when a third of 12 engines
         // restart. The row is a heartbeat old; the next one describes the new server.
@@ -355,7 +357,11 @@
     }
 
     /// Returns a server if `incarnation` is still its current one.
-    fn server_at(&mut self, key: &str, incarnation: ServerIncarnation) -> Option<&mut ServerState> {
+    fn current_server_mut(
+        &mut self,
+        key: &str,
+        incarnation: ServerIncarnation,
+    ) -> Option<&mut ServerState> {
         self.servers.get_mut(key).filter(|server_state| server_state.incarnation == incarnation)
     }
 
@@ -396,7 +402,7 @@
 }
 
 /// Applies a newer row to a known server. A server that has announced its departure never counts as
-/// staying again: it ends in any case, and an older row may arrive late.
+/// available again: it exits in any case, and an older row may arrive late.
 fn update(
     known: &mut ServerState,
     mut entry: ServerEntry,
--- a/crates/gateway/src/cluster/fleet_shards.rs
+++ b/crates/gateway/src/cluster/fleet_shards.rs
@@ -40,7 +40,7 @@
             shards > 1 && self.available_in_shard(service, shards, now).next().is_some();
         self.available_in_shard(service, if has_local_shard { shards } else { 1 }, now)
             .map(move |state| (state, self.peers.server(state.incarnation, now)))
-            .filter(|(_, peer_sum)| peer_sum.stage_changes == 0)
+            .filter(|(_, peer_totals)| peer_totals.stage_changes == 0)
     }
 
     /// Returns the available servers of `service` in this gateway's one of `shards`.
--- a/crates/gateway/src/cluster/incarnation_table.rs
+++ b/crates/gateway/src/cluster/incarnation_table.rs
@@ -71,10 +71,10 @@
         });
     }
 
-    /// Removes the entries for whose value `keeps` returns false; `keeps` may modify the
+    /// Removes the entries for whose value `is_kept` returns false; `is_kept` may modify the
     /// value.
-    pub fn retain(&mut self, mut keeps: impl FnMut(&mut T) -> bool) {
-        self.entries.retain(|_, entry| keeps(&mut entry.value));
+    pub fn retain(&mut self, mut is_kept: impl FnMut(&mut T) -> bool) {
+        self.entries.retain(|_, entry| is_kept(&mut entry.value));
     }
 
     pub fn len(&self) -> usize {
--- a/crates/gateway/src/cluster/load_share.rs
+++ b/crates/gateway/src/cluster/load_share.rs
@@ -65,12 +65,13 @@
     /// Returns the maximum number of KV cache tokens that this load is expected to hold at any
     /// later time.
     ///
-    /// Requests that start together all hold their complete responses in the end. Requests at all
-    /// stages of progress free more, as the first of them end, than the others still add, since a
-    /// prompt is longer than its response. They hold the most now, plus what they add until the
-    /// first of them ends: with `n` of them evenly spaced, that takes the `n + 1`th part of the
-    /// longest remainder, so each adds that part of twice the mean remainder. In between, the
-    /// tokens still to be generated count by how synchronised the requests are.
+    /// Requests that start together all hold their complete responses in the end. Requests that
+    /// are spread evenly over their progress hold the most when the first of them ends: from then
+    /// on, those that end free more than the rest still add, since a prompt is longer than its
+    /// response. With `n` of them, the first ends after `1 / (n + 1)` of the longest remainder,
+    /// which is twice the mean remainder, and each has added as many tokens by then. Between these
+    /// two cases, the tokens still to be generated count in proportion to how synchronised the
+    /// requests are.
     ///
     /// Without the growth until the first of them ends, engines of seven streams with long
     /// responses preempt one stream in nine, which then stalls for half a second and has its prompt
@@ -90,7 +91,7 @@
     /// Returns this load as it counts when a peer reports it.
     ///
     /// Prevents a datagram that does not come from a gateway from overflowing the sums with one
-    /// absurd count, and from making a server look full permanently.
+    /// huge count, and from making a server look full permanently.
     pub fn bounded(self) -> LoadShare {
         LoadShare {
             running: self.running.min(MAX_REPORTED_VALUE),
--- a/crates/gateway/src/cluster/outcome_log.rs
+++ b/crates/gateway/src/cluster/outcome_log.rs
@@ -4,9 +4,9 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use super::AttemptOutcome;
 use super::CrashId;
 use super::OutcomeUpdate;
-use super::SendOutcome;
 use crate::model::RequestFingerprint;
 
 /// Every report contains an outcome for this long: one report at the longest report
@@ -25,11 +25,11 @@
 #[derive(Debug, Default)]
 pub(super) struct OutcomeLog {
     /// Invariant: at most [`MAX_OUTCOMES`].
-    outcomes: VecDeque<(Instant, RequestFingerprint, SendOutcome)>,
+    outcomes: VecDeque<(Instant, RequestFingerprint, AttemptOutcome)>,
 }
 
 impl OutcomeLog {
-    pub fn push(&mut self, fingerprint: RequestFingerprint, outcome: SendOutcome, now: Instant) {
+    pub fn push(&mut self, fingerprint: RequestFingerprint, outcome: AttemptOutcome, now: Instant) {
         if self.outcomes.len() == MAX_OUTCOMES {
             self.outcomes.pop_front();
         }
@@ -44,8 +44,8 @@
         span: Duration,
         now: Instant,
     ) -> bool {
-        self.outcomes.iter().any(|(at, of, outcome)| {
-            let is_completion = *of == fingerprint && *outcome == SendOutcome::Whole;
+        self.outcomes.iter().any(|(at, reported, outcome)| {
+            let is_completion = *reported == fingerprint && *outcome == AttemptOutcome::Whole;
             is_completion && now.saturating_duration_since(*at) < span
         })
     }
@@ -53,8 +53,8 @@
     /// Keeps only the server crashes for which `is_kept` returns true.
     pub fn retain_crashes(&mut self, is_kept: impl Fn(RequestFingerprint, CrashId) -> bool) {
         self.outcomes.retain(|(_, fingerprint, outcome)| match outcome {
-            SendOutcome::Crashed(id) => is_kept(*fingerprint, *id),
-            SendOutcome::Lived(_) | SendOutcome::Cleared(_) | SendOutcome::Whole => true,
+            AttemptOutcome::Crashed(id) => is_kept(*fingerprint, *id),
+            AttemptOutcome::Lived(_) | AttemptOutcome::Cleared(_) | AttemptOutcome::Whole => true,
         });
     }
 
--- a/crates/gateway/src/cluster/outcome_update.rs
+++ b/crates/gateway/src/cluster/outcome_update.rs
@@ -14,7 +14,7 @@
 /// The outcome of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
-pub enum SendOutcome {
+pub enum AttemptOutcome {
     /// The connection broke while a server was processing the request.
     Crashed(CrashId),
     /// Before its server crashed, a run sent events for this many milliseconds, longer than any
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeUpdate {
     pub content: RequestFingerprint,
-    pub outcome: SendOutcome,
+    pub outcome: AttemptOutcome,
     /// Milliseconds since the outcome was seen.
     pub age_ms: u32,
 }
--- a/crates/gateway/src/cluster/output_estimate.rs
+++ b/crates/gateway/src/cluster/output_estimate.rs
@@ -23,7 +23,7 @@
 /// Typical length of a service's responses.
 ///
 /// Prevents engines from running out of memory because several responses outgrow their estimates at
-/// once: an engine then evicts a request and prefills its prompt again. The mean error of both
+/// once: an engine then preempts a request and prefills its prompt again. The mean error of both
 /// estimates combined is 1,120 tokens, that of the caller's estimate alone 1,420; the mean length
 /// is 3,370 tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -32,9 +32,9 @@
 /// The digest of a gateway's name.
 type PeerDigest = u64;
 
-/// Returns the digest of a name. Load reports carry digests, which take 8 bytes instead of about
-/// 12.
-pub fn server_digest(name: &str) -> u64 {
+/// Returns the digest of the name of a gateway or service. Load reports carry digests, which take
+/// 8 bytes instead of about 12.
+pub fn name_digest(name: &str) -> u64 {
     umberglade_wire::digest(name.as_bytes())
 }
 
@@ -42,7 +42,7 @@
 struct PeerReport {
     incarnation: u64,
     sequence: u64,
-    /// Number of this report among all reports received.
+    /// Consecutive number of this report among all received ones.
     serial: u64,
     received_at: Instant,
     /// True while this report is included in the totals.
@@ -105,7 +105,7 @@
         update: PeerUpdate,
         now: Instant,
     ) -> bool {
-        let peer = server_digest(peer);
+        let peer = name_digest(peer);
         if let Some(known) = self.reports.get(&peer)
             && known.incarnation == incarnation
             && known.sequence >= sequence
@@ -141,16 +141,16 @@
 
     /// Returns true if a report of this incarnation of `peer` is known.
     pub fn has_report(&self, peer: &str, incarnation: u64) -> bool {
-        let known = self.reports.get(&server_digest(peer));
+        let known = self.reports.get(&name_digest(peer));
         known.is_some_and(|report| report.incarnation == incarnation)
     }
 
     /// Returns the totals of fresh reports for the server with `digest`.
     pub fn server(&self, digest: u64, now: Instant) -> ServerTotals {
         self.server_lookups.set(self.server_lookups.get() + 1);
-        let mut sum = self.totals.server(digest);
-        self.expired(now).for_each(|report| sum.remove(&report.update, digest));
-        sum
+        let mut totals = self.totals.server(digest);
+        self.expired(now).for_each(|report| totals.remove(&report.update, digest));
+        totals
     }
 
     /// Returns the number of calls of [`server`](Self::server), by which tests bound the cost of a
@@ -185,20 +185,21 @@
             .sum()
     }
 
-    /// Returns the combined queues of live peers for the service with `digest`.
+    /// Returns the combined queues, for the service with `digest`, of peers with a fresh report.
     pub fn queues(&self, digest: u64, now: Instant) -> PeerQueues {
         self.service(digest, now).queues()
     }
 
-    /// Returns true if some live peer has read the store without an outage for the last `span`.
-    pub fn is_store_stable_at_a_peer(&self, span: Duration, now: Instant) -> bool {
+    /// Returns true if a peer with a fresh report has read the store without an outage for the last
+    /// `span`.
+    pub fn is_store_stable_at_any_peer(&self, span: Duration, now: Instant) -> bool {
         self.fresh(now).any(|report| report.update.store_stable_for >= span)
     }
 
     /// Returns true if this gateway, with digest `local`, should act for its whole shard: it has
     /// the lowest digest of the gateways that have read the store for `stable_for`.
     ///
-    /// Several gateways may get true at once, so a candidate must claim leadership before it acts.
+    /// Several gateways may get true at the same time, so a candidate must claim leadership before it acts.
     pub fn is_leader_candidate(&self, local: u64, stable_for: Duration, now: Instant) -> bool {
         self.reports
             .iter()
@@ -214,8 +215,8 @@
         mut estimates: Vec<(u64, EngineEstimates)>,
         now: Instant,
     ) {
-        estimates.retain(|(_, of)| of.is_valid());
-        self.estimates.insert(server_digest(peer), PeerEstimates { estimates, as_of: now });
+        estimates.retain(|(_, estimate)| estimate.is_valid());
+        self.estimates.insert(name_digest(peer), PeerEstimates { estimates, as_of: now });
     }
 
     /// Returns the estimates of peers for the service with `digest`.
@@ -253,7 +254,7 @@
         rank
     }
 
-    /// Returns the number of known peers, including those whose report is stale.
+    /// Returns the number of known peers, including those whose report has expired.
     pub fn len(&self) -> usize {
         self.reports.len()
     }
@@ -279,7 +280,7 @@
         self.received_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns the number of peers that have reported within `PEER_RETENTION`.
+    /// Returns the number of peers that have reported within [`PEER_RETENTION`].
     pub fn live_peers(&self, now: Instant) -> usize {
         self.reports
             .values()
@@ -296,9 +297,9 @@
     }
 
     fn service(&self, digest: u64, now: Instant) -> ServiceTotals {
-        let mut sum = self.totals.service(digest);
-        self.expired(now).for_each(|report| sum.remove(&report.update, digest));
-        sum
+        let mut totals = self.totals.service(digest);
+        self.expired(now).for_each(|report| totals.remove(&report.update, digest));
+        totals
     }
 
     fn fresh(&self, now: Instant) -> impl Iterator<Item = &PeerReport> {
--- a/crates/gateway/src/cluster/peer_totals.rs
+++ b/crates/gateway/src/cluster/peer_totals.rs
@@ -14,7 +14,7 @@
     pub load: LoadShare,
     /// Number of peers that have ejected the server.
     pub ejections: u32,
-    /// Number of peers that have instructed the server to change its stage.
+    /// Number of peers that have ordered the server to change its stage.
     pub stage_changes: u32,
 }
 
@@ -102,9 +102,9 @@
 
 /// Totals that are kept up to date as reports are added and removed.
 ///
-/// A placement looks up each server once. Summing over the reports at each lookup instead would
-/// take 79 lookups per server and 700,000 per placement with 140 engines, which uses the whole
-/// processor of a small instance.
+/// A placement looks up each server once. With 140 engines and 79 gateways, summing over the
+/// reports at each lookup instead would take 79 lookups per server and 700,000 per placement, which
+/// uses the whole processor of a small instance.
 ///
 /// Invariant: equal to the sum over all reports added and not removed.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -127,8 +127,8 @@
     /// Adds a report.
     pub fn add(&mut self, update: &PeerUpdate) {
         for (server, load) in &update.loads {
-            let sum = self.servers.entry(*server).or_default();
-            sum.load = sum.load.plus(load.bounded());
+            let totals = self.servers.entry(*server).or_default();
+            totals.load = totals.load.plus(load.bounded());
         }
         for server in &update.ejected {
             self.servers.entry(*server).or_default().ejections += 1;
@@ -147,36 +147,36 @@
     /// Subtracts a report that was added before.
     pub fn remove(&mut self, update: &PeerUpdate) {
         for (server, load) in &update.loads {
-            self.change_server(*server, |sum| sum.load = sum.load.minus(load.bounded()));
+            self.change_server(*server, |totals| totals.load = totals.load.minus(load.bounded()));
         }
         for server in &update.ejected {
-            self.change_server(*server, |sum| sum.ejections -= 1);
+            self.change_server(*server, |totals| totals.ejections -= 1);
         }
         for server in &update.stage_changes {
-            self.change_server(*server, |sum| sum.stage_changes -= 1);
+            self.change_server(*server, |totals| totals.stage_changes -= 1);
         }
         for (service, count) in &update.retries {
-            self.change_service(*service, |sum| sum.remove_retries(*count));
+            self.change_service(*service, |totals| totals.remove_retries(*count));
         }
         for (service, queue) in &update.queues {
-            self.change_service(*service, |sum| sum.remove_queue(*queue));
+            self.change_service(*service, |totals| totals.remove_queue(*queue));
         }
     }
 
     /// Changes the totals of a server and drops them once they are zero, so that servers that have
     /// left take no memory.
     fn change_server(&mut self, digest: u64, change: impl FnOnce(&mut ServerTotals)) {
-        let sum = self.servers.entry(digest).or_default();
-        change(sum);
-        if *sum == ServerTotals::default() {
+        let totals = self.servers.entry(digest).or_default();
+        change(totals);
+        if *totals == ServerTotals::default() {
             self.servers.remove(&digest);
         }
     }
 
     fn change_service(&mut self, digest: u64, change: impl FnOnce(&mut ServiceTotals)) {
-        let sum = self.services.entry(digest).or_default();
-        change(sum);
-        if *sum == ServiceTotals::default() {
+        let totals = self.services.entry(digest).or_default();
+        change(totals);
+        if *totals == ServiceTotals::default() {
             self.services.remove(&digest);
         }
     }
--- a/crates/gateway/src/cluster/peer_update.rs
+++ b/crates/gateway/src/cluster/peer_update.rs
@@ -12,7 +12,7 @@
 use super::RetryCount;
 use crate::model::ConfigVersion;
 
-/// How close a gateway is to the one that sends it a report.
+/// Whether the receiver of a report is in the sender's shard.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, IntoStaticStr, Serialize, Deserialize)]
 #[strum(serialize_all = "snake_case")]
 pub enum PeerReach {
@@ -52,7 +52,7 @@
     pub queues: SmallVec<[(u64, QueueUpdate); 1]>,
     /// How long the peer has read the server table without an outage.
     pub store_stable_for: Duration,
-    /// Engines that the peer has instructed to change their stage.
+    /// Engines that the peer has ordered to change their stage.
     pub stage_changes: SmallVec<[u64; 4]>,
     /// Version of the configuration in force at the peer; 0 if it has none.
     pub config: ConfigVersion,
--- a/crates/gateway/src/cluster/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -92,7 +92,7 @@
 }
 
 /// Returns a decode server with capacity for `shape`, and the prefill server for its prompt.
-/// `requests_ahead` is the number of requests at other gateways that go first: that many of the
+/// `requests_ahead` is the number of requests at peers that go first: that many of the
 /// best placements are left to them.
 ///
 /// Prevents gateways from all taking the same capacity when it becomes free: without communication,
@@ -114,8 +114,9 @@
     let decode_servers =
         healthy_or_all(&engines, request.now, |stage| stage != ServerStage::Prefill);
     let prompt_ms = f64::from(shape.prompt_tokens) / PREFILL_TOKENS_PER_MS;
-    let prefill_cost =
-        |one: &Candidate<'_>| one.prefill_cost() + tie_break(request, one.server_state) * prompt_ms;
+    let prefill_cost = |candidate: &Candidate<'_>| {
+        candidate.prefill_cost() + tie_break(request, candidate.server_state) * prompt_ms
+    };
     let prefill_servers =
         healthy_or_all(&engines, request.now, |stage| stage == ServerStage::Prefill);
     let prefill_servers = DomainPrefillServers::new(&prefill_servers, prefill_cost);
@@ -145,7 +146,7 @@
 }
 
 /// Returns a decode server for a stream that must continue on another server. A server without
-/// capacity is accepted too, since the client is already waiting in the middle of a response.
+/// capacity is accepted too, since the caller has already received a part of the response.
 pub fn place_decode(
     fleet: &Fleet,
     spec: &EngineSpec,
@@ -177,7 +178,7 @@
 ///
 /// Prevents gateways from all choosing the same server. Their views are up to one report interval
 /// (250 ms) old, and by cost alone they agree on the server that looks emptiest: of the placements
-/// that 79 gateways make within 30 ms, a third meet at one of 39 servers, where prompts queue and
+/// that 79 gateways make within 30 ms, a third go to one of 39 servers, where prompts queue and
 /// memory runs out. A server that is less loaded by one request is still preferred.
 fn tie_break(request: &PlacementRequest<'_>, server_state: &ServerState) -> f64 {
     f64::from(rendezvous_score(request.gateway, server_state.incarnation)) / f64::from(u32::MAX)
--- a/crates/gateway/src/cluster/pooled_count.rs
+++ b/crates/gateway/src/cluster/pooled_count.rs
@@ -1,7 +1,7 @@
 //! Pools the means of several gateways.
 
 /// Maximum number of samples that one gateway's mean stands for, however many it has recorded: its
-/// means decay, the slowest of them within about as many samples.
+/// means decay, the slowest of them over about as many samples.
 const MAX_SAMPLES: u32 = 20;
 
 /// The weight of a mean that is added to a pool of means.
@@ -13,16 +13,16 @@
 }
 
 impl PooledCount {
-    /// Adds a mean of `theirs` samples to a pool of `ours`.
-    pub fn new(ours: u32, theirs: u32) -> Self {
-        let theirs = theirs.min(MAX_SAMPLES);
-        let samples = ours.saturating_add(theirs);
-        PooledCount { samples, fraction: f64::from(theirs) / f64::from(samples.max(1)) }
+    /// Adds a mean of `added` samples to a pool of `pooled` samples.
+    pub fn new(pooled: u32, added: u32) -> Self {
+        let added = added.min(MAX_SAMPLES);
+        let samples = pooled.saturating_add(added);
+        PooledCount { samples, fraction: f64::from(added) / f64::from(samples.max(1)) }
     }
 
-    /// Returns the pool's mean after adding `theirs` to `ours`.
-    pub fn mean(&self, ours: f64, theirs: f64) -> f64 {
-        ours + (theirs - ours) * self.fraction
+    /// Returns the pool's mean after adding the mean `added` to the mean `pooled`.
+    pub fn mean(&self, pooled: f64, added: f64) -> f64 {
+        pooled + (added - pooled) * self.fraction
     }
 }
 
--- a/crates/gateway/src/cluster/prefill_rate.rs
+++ b/crates/gateway/src/cluster/prefill_rate.rs
@@ -13,7 +13,7 @@
 /// prompts, a few seconds of a busy gateway.
 const DECAY_FACTOR: f64 = 0.98;
 /// Weight of the assumption that all of the time is proportional to the tokens, for when all
-/// prompts have the same length: equal to that of a spread of a fifth of their length.
+/// prompts have the same length: equal to the weight of lengths that spread by a fifth.
 const PROPORTIONAL_WEIGHT: f64 = 0.05;
 
 /// Linear regression of the time from sending a prompt to its prefill's end over the number of
--- a/crates/gateway/src/cluster/quarantine.rs
+++ b/crates/gateway/src/cluster/quarantine.rs
@@ -83,8 +83,8 @@
     /// Returns this quarantine with the row's new `version`; with `is_local_claim`, this
     /// gateway has claimed the probe in that row.
     ///
-    /// Prevents a probe that no gateway sends because the response to its claim was lost: it is
-    /// sent once the request that made the claim has been rejected.
+    /// Prevents a claimed probe from never being sent when the response to the claim was lost: it
+    /// is sent once the request that made the claim has been rejected.
     pub fn renewed(
         self,
         probes: u32,
--- a/crates/gateway/src/cluster/quota_account.rs
+++ b/crates/gateway/src/cluster/quota_account.rs
@@ -20,7 +20,8 @@
 /// its share of the demand. Organisations far below their limit have a few requests at each
 /// gateway.
 const MIN_GRANTED_REQUESTS: f64 = 4.0;
-/// [`MIN_GRANTED_REQUESTS`] of a gateway that has received no report for longer than reports take.
+/// Replaces [`MIN_GRANTED_REQUESTS`] at a gateway that has received no report for longer than
+/// reports take.
 const MIN_GRANTED_WHEN_ISOLATED: f64 = 1.0;
 /// Maximum retry delay that a rejected caller is given.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(10);
@@ -62,7 +63,8 @@
     /// Units counted as used though no peer reported them, since this gateway does not know what
     /// was charged before its start.
     assumed: f64,
-    /// Units that rejected callers were told to retry for. Decreases as slots leave the window.
+    /// Units for which rejected callers were given a time to retry. Decreases as slots leave the
+    /// window.
     deferred: f64,
 }
 
--- a/crates/gateway/src/cluster/quota_pool.rs
+++ b/crates/gateway/src/cluster/quota_pool.rs
@@ -39,8 +39,8 @@
 ///
 /// Each gateway charges the requests that it grants to its own copy of a window that covers all
 /// gateways, reports its totals to its peers and adds what they charged. No gateway owns a quota.
-/// Where callers request more before reports include it than is left, each gateway grants the
-/// fraction of the requests that is left. Until a gateway receives reports again, it grants no
+/// When callers request more than is left before reports include it, each gateway grants only the
+/// fraction of the requests that what is left suffices for. Until a gateway receives reports again, it grants no
 /// more than its share of the demand; one that receives reports of few peers grants no more than
 /// its fraction of the quota.
 #[derive(Debug)]
@@ -119,7 +119,8 @@
         view: &QuotaView,
         now: Instant,
     ) {
-        let is_older = age > now.saturating_duration_since(self.started_at) + PRIOR_START_MARGIN;
+        let started_before =
+            age > now.saturating_duration_since(self.started_at) + PRIOR_START_MARGIN;
         let known = self.peers.entry(peer).or_insert_with(|| PeerCharges {
             incarnation,
             received_at: now,
@@ -143,7 +144,7 @@
                         account.apply_charge(units, now);
                     }
                 }
-                None if is_older => account.apply_prior_charge(update.recent as f64, now),
+                None if started_before => account.apply_prior_charge(update.recent as f64, now),
                 None => {
                     account.apply_demand(update.asked as f64, now);
                     account.apply_charge(update.recent as f64, now);
@@ -161,7 +162,8 @@
         updates.collect()
     }
 
-    /// Returns what this gateway charged within the window, for peers that receive reports rarely.
+    /// Returns what this gateway charged within the window, for remote peers, which receive reports at
+    /// longer intervals.
     pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self
             .accounts
--- a/crates/gateway/src/cluster/rate_estimate.rs
+++ b/crates/gateway/src/cluster/rate_estimate.rs
@@ -18,7 +18,8 @@
 /// callers would wait 3 s in vain.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RateEstimate {
-    /// Events per second as of the last one, not corrected for the short time that it covers.
+    /// Events per second as of the last event, not corrected for the short time that the average
+    /// covers.
     uncorrected_rate: f64,
     first_at: Option<Instant>,
     last_at: Option<Instant>,
--- a/crates/gateway/src/cluster/report_interval.rs
+++ b/crates/gateway/src/cluster/report_interval.rs
@@ -19,7 +19,7 @@
 /// half of a bound of a few seconds.
 pub const READER_REPORT_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Returns the time between two regular reports to `peers` other gateways.
+/// Returns the time between two regular reports to `peers` peers.
 pub fn report_interval(peers: usize) -> Duration {
     let interval = BASE_REPORT_INTERVAL
         + REPORT_INTERVAL_PER_PEER * u32::try_from(peers).unwrap_or(u32::MAX / 4);
--- a/crates/gateway/src/cluster/retry_budget.rs
+++ b/crates/gateway/src/cluster/retry_budget.rs
@@ -8,14 +8,14 @@
 use serde::Deserialize;
 use serde::Serialize;
 
+use super::name_digest;
 use super::report_interval;
-use super::server_digest;
 use crate::model::ServiceName;
 
 /// Fraction of the bound that is used. The rest covers what peers send between two of their
 /// reports, and that the windows of a gateway and of a server begin at different moments.
 const USABLE_FRACTION: f64 = 0.75;
-/// Largest age of the peers' counts, in reports: one report may be lost.
+/// Largest age of the peers' counts, in report intervals: one report may be lost.
 const MAX_COUNT_AGE_REPORTS: u32 = 2;
 /// Number of buckets that a window is divided into.
 const BUCKETS: u32 = 100;
@@ -69,7 +69,7 @@
 ///
 /// Prevents retry storms: when servers fail, the remaining ones would get the failed work again and
 /// again. In any window all gateways together may retry `ratio` of the requests plus `slack`.
-/// Gateways report their counts to each other, so one whose servers fail may use what the others do
+/// Gateways report their counts to each other, so one whose servers fail may use what its peers do
 /// not. The share of a gateway that does not report stays reserved for it, so that gateways cut off
 /// from each other still keep within the bound.
 #[derive(Debug)]
@@ -158,12 +158,12 @@
         let services: Vec<ServiceName> = self.counts.keys().cloned().collect();
         services
             .iter()
-            .map(|service| (server_digest(service), self.count(service, now)))
+            .map(|service| (name_digest(service), self.count(service, now)))
             .filter(|(_, count)| *count != RetryCount::default())
             .collect()
     }
 
-    /// Returns the fraction of the slack that is available since the process started.
+    /// Returns the fraction of the slack that is available this long after the process started.
     ///
     /// Prevents the bound from being used twice: a new process does not know what the one before it
     /// sent in the same window, so its slack grows over one window.
--- a/crates/gateway/src/cluster/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -28,7 +28,7 @@
 }
 
 /// The backoffs that server incarnations have requested. Includes those of peers, so that a
-/// restarted gateway can learn its own from them.
+/// restarted gateway can learn its own backoffs from its peers.
 #[derive(Debug, Default)]
 pub struct ServerBackoffs {
     /// Per server, by the digest of the gateway.
--- a/crates/gateway/src/cluster/server_health.rs
+++ b/crates/gateway/src/cluster/server_health.rs
@@ -25,7 +25,7 @@
 }
 
 /// Half-life of the failure fraction while no outcomes are recorded. Short enough that a server
-/// that has recovered is used again within two target latencies of a stream; long enough to cover
+/// that has recovered is used again within twice the latency target of a stream; long enough to cover
 /// the gaps between requests to one of 18 servers.
 const HALF_LIFE: Duration = Duration::from_millis(2500);
 /// Weight of one outcome in the failure fraction.
--- a/crates/gateway/src/cluster/server_shards.rs
+++ b/crates/gateway/src/cluster/server_shards.rs
@@ -9,7 +9,7 @@
 const MIN_SHARDED_GATEWAYS: usize = 120;
 
 /// Returns the number of shards into which the `servers` of a service are divided among `gateways`:
-/// a power of two, so that gateways that count differently still share most.
+/// a power of two, so that gateways that count differently still share most of their servers.
 ///
 /// Prevents the traffic between gateways from growing with the square of their number: saturated
 /// links make configuration, servers and loads stale at the same time. Only the gateways of one
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -24,8 +24,8 @@
 /// Engine time that a mean stream takes in each stage.
 ///
 /// Prevents engines from being taken from the stage that is about to become the bottleneck. How
-/// busy prefill servers are says little: they are idle before a burst, and a prompt in the constant
-/// steps of its engine looks like one being prefilled. Judged by that, two of five prefill servers
+/// busy prefill servers are says little: they are idle before a burst, and a prompt in those steps
+/// of its engine that take constant time looks like one being prefilled. Judged by that, two of five prefill servers
 /// are ordered to decode at the start of a burst, prompts queue for seconds, and callers get 0.60
 /// of the value of what they request, against 0.69 with one ordered. What a stream takes of either
 /// stage does not depend on how many arrive.
@@ -36,7 +36,7 @@
     prompt_tokens: f64,
     /// Mean time that a stream stays at a decode server, in seconds.
     stay_s: f64,
-    /// The same, multiplied by the KV cache tokens that the stream holds.
+    /// Mean of that time multiplied by the KV cache tokens that the stream holds.
     token_s: f64,
     streams: u32,
 }
@@ -81,8 +81,8 @@
         let prefill_s = self.prompt_tokens * self.reading.millis_per_token()? / 1000.0;
         let by_memory = self.token_s / f64::from(spec.kv_tokens.max(1));
         let by_slots = self.stay_s / f64::from(spec.slots.max(1));
-        let reading = prefill_s / TARGET_PREFILL_UTILISATION;
-        let fraction = reading / (reading + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
+        let by_prefill = prefill_s / TARGET_PREFILL_UTILISATION;
+        let fraction = by_prefill / (by_prefill + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
         Some((fraction * engines as f64).round() as usize)
     }
 }
--- a/crates/gateway/src/cluster/stage_monitor.rs
+++ b/crates/gateway/src/cluster/stage_monitor.rs
@@ -21,8 +21,8 @@
 const MIN_PREFILL_FRACTION: f64 = 0.12;
 const MIN_PREFILL_SERVERS: usize = 3;
 /// Prefill servers also change while no request is queued, when more than this fraction of them has
-/// been surplus for [`MIN_SPARE_DURATION`]. Engines are away for about 6 s, longer than most bursts
-/// last, so a change that waits for the burst adds its capacity only afterwards.
+/// been spare for [`MIN_SPARE_DURATION`]. Engines are unavailable for about 6 s, longer than most
+/// bursts last, so a change that waits for the burst adds its capacity only afterwards.
 const SPARE_FRACTION: f64 = 0.2;
 const MIN_SPARE_DURATION: Duration = Duration::from_secs(2);
 /// Prefill servers that are busier than this for [`MIN_OVERLOAD_DURATION`] are too few.
@@ -72,7 +72,7 @@
     polled_at: Option<Instant>,
     queued_since: Option<Instant>,
     overloaded_since: Option<Instant>,
-    /// Since when there have been clearly more prefill servers than the target.
+    /// Since when more than [`SPARE_FRACTION`] of the prefill servers have been spare.
     spare_since: Option<Instant>,
     cooldown_until: Option<Instant>,
 }
@@ -179,8 +179,10 @@
     let mut chosen = Vec::new();
     while chosen.len() < change.count && !candidates.is_empty() {
         let domain = largest_domain(&candidates);
-        let index =
-            candidates.iter().position(|(_, of, _)| *of == domain).expect("a domain of the list");
+        let index = candidates
+            .iter()
+            .position(|(_, known, _)| *known == domain)
+            .expect("a domain of the list");
         chosen.push(candidates.remove(index).2);
     }
     chosen
--- a/crates/gateway/src/cluster/table_readers.rs
+++ b/crates/gateway/src/cluster/table_readers.rs
@@ -7,8 +7,8 @@
 
 use super::TableFingerprint;
 
-/// Number of gateways that read a table for their peers: two may die or be cut off at once, and the
-/// others are still up to date within a report.
+/// Number of gateways that read a table for their peers: two may die or be cut off at once, and all
+/// gateways are still up to date within a report.
 const TARGET_READERS: usize = 3;
 /// With fewer peers than this, each gateway reads for itself: three of eight gateways that read
 /// twice as often save little.
@@ -17,7 +17,7 @@
 /// local read: a call may wait 0.9 s for its response, and bounds are two seconds or more.
 const FRESH_FRACTION: f64 = 0.5;
 /// Fraction of the bound over which gateways without fresh notices spread their first reads: the
-/// first of them then report to the others.
+/// first of them then report to their peers.
 const FALLBACK_SPREAD_FRACTION: f64 = 0.1;
 /// Delay for each gateway that ranks before this one, before this one replaces a missing reader. A
 /// read and a report take about 30 ms.
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReaderNotice {
     pub fingerprint: TableFingerprint,
-    /// When the store answered the read.
+    /// When the store responded to the read.
     pub read_at: Instant,
     /// True if reading takes much of the reader's link.
     pub is_heavy: bool,
@@ -62,7 +62,7 @@
 /// Prevents the number of calls to the store from growing with the number of gateways: 195 gateways
 /// that each read for themselves once a second would also all wake up at each change. There is no
 /// agreement and no stored state: a gateway without fresh notices reads for itself, so frozen,
-/// isolated or lying readers cost calls and delay within the bound.
+/// isolated or misreporting readers cost calls and delay within the bound.
 #[derive(Debug)]
 pub struct TableReaders {
     local: u64,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records that the store answered a local read.
+    /// Records that the store responded to a local read.
     pub fn record_read(&mut self, fingerprint: TableFingerprint, now: Instant) {
         self.fingerprint = fingerprint;
         self.known_at = Some(now);
@@ -112,7 +112,7 @@
     /// Sets whether reading takes much of this gateway's link.
     ///
     /// Prevents small instances from reading a large table for their peers: it would fill their
-    /// links and delay their reports, so that all other gateways would read too.
+    /// links and delay their reports, so that all peers would read too.
     pub fn set_heavy(&mut self, is_heavy: bool) {
         self.is_heavy = is_heavy;
     }
@@ -177,7 +177,7 @@
         ReadRole::Listener { until: expires_at.min(now + POLL_INTERVAL) }
     }
 
-    /// Returns true if this gateway is one of the few that send rows to all others.
+    /// Returns true if this gateway is one of the few that send rows to all their peers.
     pub fn sends_rows(&self, now: Instant) -> bool {
         self.local_notice(now).is_some() && self.readers_before() < TARGET_READERS
     }
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -23,8 +23,8 @@
 use crate::cluster::PlacementRequest;
 use crate::cluster::QueueRequest;
 use crate::cluster::Ticket;
+use crate::cluster::name_digest;
 use crate::cluster::place_engine;
-use crate::cluster::server_digest;
 use crate::events;
 use crate::load_guard::LoadGuard;
 use crate::model::EngineSpec;
@@ -264,7 +264,7 @@
         let update =
             state.service_queues.with_queue(&call.service, |queue| queue.queue_update(now));
         let fleet = state.fleet();
-        let service = server_digest(&call.service);
+        let service = name_digest(&call.service);
         let ahead = update.map_or(0, |update| fleet.peers.queued_ahead(service, &update, now));
         place_engine(&fleet, spec, shape, ahead, &placement_request(state, call, &[]))?
     };
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -46,19 +46,19 @@
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
 /// The outcome of one attempt.
-enum SendOutcome {
+enum AttemptOutcome {
     /// The server's complete response.
     Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
 
-impl SendOutcome {
+impl AttemptOutcome {
     fn is_final(&self, call: &Call) -> bool {
         match self {
-            SendOutcome::Responded(response) => {
+            AttemptOutcome::Responded(response) => {
                 !(call.route.is_repeatable() && response.status().is_server_error())
             }
-            SendOutcome::Failed(_) => false,
+            AttemptOutcome::Failed(_) => false,
         }
     }
 }
@@ -100,7 +100,7 @@
             }
         };
         if outcome.is_final(&call) {
-            let SendOutcome::Responded(response) = outcome else {
+            let AttemptOutcome::Responded(response) = outcome else {
                 unreachable!("only responses are final")
             };
             return complete(&call, response, &attempts);
@@ -111,16 +111,20 @@
 }
 
 /// Records an outcome that is not final.
-fn record_non_final(outcome: SendOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
+fn record_non_final(
+    outcome: AttemptOutcome,
+    attempts: &mut Attempts,
+    earlier: &mut EarlierOutcomes,
+) {
     match outcome {
-        SendOutcome::Responded(response) => {
+        AttemptOutcome::Responded(response) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
             earlier.error_response = Some(response);
         }
-        SendOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
-        SendOutcome::Failed(failure) if failure.is_not_run() => {}
-        SendOutcome::Failed(_) => {
+        AttemptOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
+        AttemptOutcome::Failed(failure) if failure.is_not_run() => {}
+        AttemptOutcome::Failed(_) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
         }
@@ -144,11 +148,11 @@
 async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
-    mut first: std::pin::Pin<&mut impl Future<Output = SendOutcome>>,
+    mut first: std::pin::Pin<&mut impl Future<Output = AttemptOutcome>>,
     after: Duration,
     attempts: &mut Attempts,
     earlier: &mut EarlierOutcomes,
-) -> Option<SendOutcome> {
+) -> Option<AttemptOutcome> {
     if let Some(outcome) = by_deadline(Instant::now() + after, first.as_mut()).await {
         return Some(outcome);
     }
@@ -210,9 +214,9 @@
     call: &Arc<Call>,
     server: ServerKey,
     permit: SendPermit,
-) -> SendOutcome {
+) -> AttemptOutcome {
     let Some(target) = exchange::send_target(state, &server) else {
-        return SendOutcome::Failed(SendFailure::Unsent);
+        return AttemptOutcome::Failed(SendFailure::Unsent);
     };
     let _load_guard = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
@@ -224,7 +228,7 @@
     };
     match exchange::exchange::<C>(state, call, &target, &order, permit, time_left).await {
         Ok(reply) => read_response::<C>(state, call, &target, reply).await,
-        Err(failure) => SendOutcome::Failed(failure),
+        Err(failure) => AttemptOutcome::Failed(failure),
     }
 }
 
@@ -234,7 +238,7 @@
     call: &Call,
     target: &SendTarget,
     reply: OpenReply,
-) -> SendOutcome {
+) -> AttemptOutcome {
     let (parts, body) = reply.response.into_parts();
     let read = match by_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
@@ -244,7 +248,7 @@
     let body: Bytes = match read {
         Ok(body) => body,
         Err((failure, problem)) => {
-            return SendOutcome::Failed(exchange::record_failure(
+            return AttemptOutcome::Failed(exchange::record_failure(
                 state, call, target, failure, &problem,
             ));
         }
@@ -260,7 +264,7 @@
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::reply_headers(&parts.headers);
-    SendOutcome::Responded(response)
+    AttemptOutcome::Responded(response)
 }
 
 fn complete(
--- a/crates/gateway/src/peers/peer_registry.rs
+++ b/crates/gateway/src/peers/peer_registry.rs
@@ -5,7 +5,7 @@
 use std::sync::Mutex;
 use std::sync::MutexGuard;
 
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::cluster::shares_shard;
 
 /// The peers' addresses.
@@ -38,7 +38,7 @@
         if entries.get(peer).is_some_and(|known| known.address == address) {
             return false;
         }
-        let digest = server_digest(peer);
+        let digest = name_digest(peer);
         entries.insert(peer.to_owned(), PeerEntry { digest, address });
         true
     }
@@ -63,7 +63,7 @@
         if shards == 1 {
             return PeerGroups { local_shard: self.addresses_except(local), remote: Vec::new() };
         }
-        let local_digest = server_digest(local);
+        let local_digest = name_digest(local);
         let mut groups = PeerGroups::default();
         for (_, entry) in self.entries().iter().filter(|(peer, _)| *peer != local) {
             if shares_shard(local_digest, entry.digest, shards) {
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -17,8 +17,8 @@
 use crate::cluster::PeerUpdate;
 use crate::cluster::READER_REPORT_INTERVAL;
 use crate::cluster::REMOTE_REPORT_INTERVAL;
+use crate::cluster::name_digest;
 use crate::cluster::report_interval;
-use crate::cluster::server_digest;
 use crate::events;
 use crate::model::StoreTable;
 use crate::state::GatewayState;
@@ -228,7 +228,7 @@
 fn apply_report(state: &GatewayState, report: LoadReport, address: SocketAddr) {
     let is_known = state.fleet().peers.has_report(&report.peer, report.incarnation);
     if report.sequence <= STARTUP_REPORTS || !is_known {
-        let digest = server_digest(&report.peer);
+        let digest = name_digest(&report.peer);
         state.newcomers.lock().expect("newcomers lock").push(digest);
         state.work_changed.notify(1);
     }
@@ -244,7 +244,7 @@
     };
     let now = Instant::now();
     if !report.charges.is_empty() {
-        let digest = server_digest(&report.peer);
+        let digest = name_digest(&report.peer);
         let view = state.quota_view();
         let age = Duration::from_millis(report.age_ms);
         state.quotas.apply_peer_charges(digest, report.incarnation, age, &report.charges, &view);
--- a/crates/gateway/src/service_queues.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -13,7 +13,7 @@
 use crate::cluster::QueueUpdate;
 use crate::cluster::StageBalance;
 use crate::cluster::TypicalTimeout;
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::model::ServiceName;
 
 /// Callers' demand as seen by this gateway.
@@ -45,7 +45,7 @@
         let queues = self.queues.lock().expect("queues lock");
         queues
             .iter()
-            .filter_map(|(service, queue)| Some((server_digest(service), queue.queue_update(now)?)))
+            .filter_map(|(service, queue)| Some((name_digest(service), queue.queue_update(now)?)))
             .collect()
     }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
 use crate::cluster::RetryCount;
 use crate::cluster::RetryPriority;
 use crate::cluster::ServerOutcome;
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::events;
 use crate::in_flight_count::InFlightCount;
 use crate::model::ConfigVersion;
@@ -99,7 +99,7 @@
             settings.retry_window,
             begun,
         );
-        let digest = server_digest(&settings.instance);
+        let digest = name_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
             readings: SharedReadings::new(digest, &settings),
@@ -150,7 +150,7 @@
     /// True when one repeated send to `service` may be made.
     pub fn spend_retry(&self, service: &ServiceName, use_for: RetryPriority) -> bool {
         let now = Instant::now();
-        let heard = self.fleet().peers.retries(server_digest(service), now);
+        let heard = self.fleet().peers.retries(name_digest(service), now);
         let members = self.members();
         let mut retries = self.retries.lock().expect("retries lock");
         retries.consume(service, members, heard, use_for, now)
@@ -207,7 +207,7 @@
 
     /// The lines for `service` at all other gateways.
     pub fn other_lines(&self, service: &ServiceName) -> PeerQueues {
-        self.fleet().peers.queues(server_digest(service), Instant::now())
+        self.fleet().peers.queues(name_digest(service), Instant::now())
     }
 
     /// What this gateway's own streams were like, for each service with engines;
@@ -216,7 +216,7 @@
         let Some(table) = self.table() else { return Vec::new() };
         let services = table.services.iter().filter(|(_, spec)| spec.engine.is_some());
         services
-            .map(|(service, _)| (server_digest(service), self.service_queues.estimates(service)))
+            .map(|(service, _)| (name_digest(service), self.service_queues.estimates(service)))
             .collect()
     }
 
@@ -224,7 +224,7 @@
     pub fn learned(&self, service: &ServiceName) -> EngineEstimates {
         let own = self.service_queues.estimates(service);
         let fleet = self.fleet();
-        let others = fleet.peers.estimates(server_digest(service));
+        let others = fleet.peers.estimates(name_digest(service));
         EngineEstimates::pooled(others.chain([own]))
     }
 
--- a/crates/gateway/src/store/shared_readings.rs
+++ b/crates/gateway/src/store/shared_readings.rs
@@ -9,7 +9,7 @@
 use super::SharedReading;
 use super::TableNotice;
 use crate::cluster::ReaderNotice;
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::model::GatewaySettings;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
@@ -58,7 +58,7 @@
         let Some(reading) = self.find(notice.table) else { return };
         let is_heavy = notice.is_heavy;
         let notice = ReaderNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
-        reading.roster().apply_peer_notice(server_digest(peer), notice);
+        reading.roster().apply_peer_notice(name_digest(peer), notice);
     }
 
     /// Another gateway has read rows that say something new.
--- a/crates/gateway/tests/admission_queue.rs
+++ b/crates/gateway/tests/admission_queue.rs
@@ -300,7 +300,7 @@
     }
 }
 
-/// Engines complete several streams at a time, so capacity is given out in clumps. The rate must
+/// Engines complete several streams at a time, so capacity is released in clumps. The rate must
 /// match the departures however they are spaced: with a rate that is too high, callers are admitted
 /// that wait in vain and are rejected late.
 #[test]
@@ -402,7 +402,7 @@
     assert_eq!(head(&mut queue, &[queued, returning, newcomer], now), Some(newcomer));
 }
 
-/// In a burst, new requests take all capacity. Rejected callers must be told to retry after it
+/// In a burst, new requests take all capacity. Rejected callers must get a retry time after it
 /// ends, not when the queue would be empty if no new requests came.
 #[test]
 fn rejected_callers_retry_after_the_burst() {
--- a/crates/gateway/tests/crash_detector.rs
+++ b/crates/gateway/tests/crash_detector.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use umberglade_gateway::cluster::AttemptOutcome;
 use umberglade_gateway::cluster::CrashDetector;
 use umberglade_gateway::cluster::OutcomeUpdate;
 use umberglade_gateway::cluster::QuarantineVerdict;
 use umberglade_gateway::cluster::RowChange;
-use umberglade_gateway::cluster::SendOutcome;
 
 const REQUEST: u64 = 7;
 const OTHER: u64 = 8;
@@ -44,10 +44,12 @@
         };
         match self {
             Step::Crash(id) => drop(detector.record_crash(REQUEST, id, Duration::ZERO, now)),
-            Step::PeerCrash(id, age) => apply_peer_outcome(detector, SendOutcome::Crashed(id), age),
+            Step::PeerCrash(id, age) => {
+                apply_peer_outcome(detector, AttemptOutcome::Crashed(id), age)
+            }
             Step::OtherCompletion(server) => drop(detector.record_completion(OTHER, server, now)),
             Step::Completion => drop(detector.record_completion(REQUEST, HEALTHY_SERVER, now)),
-            Step::PeerCompletion(age) => apply_peer_outcome(detector, SendOutcome::Whole, age),
+            Step::PeerCompletion(age) => apply_peer_outcome(detector, AttemptOutcome::Whole, age),
             Step::Row(version) => drop(detector.apply_row(REQUEST, 0, version, false, now)),
             Step::MissingRow(version) => drop(detector.apply_missing_row(REQUEST, version, now)),
         }
@@ -448,8 +450,9 @@
 fn no_quarantine_during_warm_up() {
     let started_at = Instant::now();
     let crash =
-        |id| OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Crashed(id), age_ms: 900 };
-    let completion = OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Whole, age_ms: 100 };
+        |id| OutcomeUpdate { content: REQUEST, outcome: AttemptOutcome::Crashed(id), age_ms: 900 };
+    let completion =
+        OutcomeUpdate { content: REQUEST, outcome: AttemptOutcome::Whole, age_ms: 100 };
     for is_harmless in [true, false] {
         let mut detector = CrashDetector::new(started_at);
         for id in 1..=3 {
@@ -537,27 +540,28 @@
     }
 }
 
-/// A gateway that has seen a request complete reports that once servers crash under it
-/// elsewhere. Outcomes of fingerprints that no gateway suspects are not reported.
+/// A gateway that has seen a request complete reports the completion as soon as servers crash
+/// under it elsewhere. Outcomes of fingerprints that no gateway suspects are not reported.
 #[test]
 fn completions_are_reported_for_suspects() {
     let started_at = Instant::now();
     let mut detector = CrashDetector::default();
     detector.record_completion(REQUEST, HEALTHY_SERVER, started_at);
     assert!(detector.updates(true, started_at).is_empty());
-    let outcome = SendOutcome::Crashed(1);
+    let outcome = AttemptOutcome::Crashed(1);
     detector.apply_peer_outcome(
         OutcomeUpdate { content: REQUEST, outcome, age_ms: 30 },
         started_at + ms(500),
     );
     let reported = detector.updates(false, started_at + ms(500));
-    let expected = OutcomeUpdate { content: REQUEST, outcome: SendOutcome::Whole, age_ms: 31 };
+    let expected = OutcomeUpdate { content: REQUEST, outcome: AttemptOutcome::Whole, age_ms: 31 };
     assert_eq!(reported, [expected]);
     // Once cleared, the completion is reported again with the next crash, since other gateways
     // may have started meanwhile.
     detector.record_completion(REQUEST, HEALTHY_SERVER, started_at + ms(600));
     detector.record_crash(REQUEST, 2, Duration::ZERO, started_at + ms(20_000));
     let reported = detector.updates(false, started_at + ms(20_000));
-    let completions = reported.iter().filter(|update| update.outcome == SendOutcome::Whole).count();
+    let completions =
+        reported.iter().filter(|update| update.outcome == AttemptOutcome::Whole).count();
     assert_eq!(completions, 1, "{reported:?}");
 }
--- a/crates/gateway/tests/event_catalogue.rs
+++ b/crates/gateway/tests/event_catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue of log events holds each number the code logs.
+//! The catalogue of log events contains each number that the code logs.
 
 use std::collections::BTreeSet;
 
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Whole events out of bytes that come in any pieces.
+//! Splitting a byte stream into complete events, wherever the pieces of the stream end.
 
 use proptest::prelude::*;
 use umberglade_gateway::forward::EventSplitter;
@@ -59,8 +59,8 @@
 }
 
 proptest! {
-    /// However the bytes are cut on the way, the same events come out, and
-    /// nothing is lost or joined.
+    /// The same events are found wherever the bytes are cut on the way; none is lost or joined
+    /// with another.
     #[test]
     fn pieces_make_no_difference(
         texts in prop::collection::vec("[a-z ]{0,20}", 0..8),
--- a/crates/gateway/tests/fleet.rs
+++ b/crates/gateway/tests/fleet.rs
@@ -312,7 +312,7 @@
     assert_eq!(fleet.remove("a", 6, now), None);
 }
 
-/// Guards against judging a restarted server by its previous incarnation. A server crashes with
+/// Prevents a restarted server from being judged by its previous incarnation. A server crashes with
 /// streams in progress and is started again immediately, under its id and at its address. Judged by
 /// the state of the previous process, it would look full until the callers of those streams
 /// disconnect, be ejected for failures it has not caused, and look busy because of reports from
@@ -353,8 +353,8 @@
     assert_eq!(fleet.load(fleet.server("a").unwrap(), now), LoadShare::default());
 }
 
-/// Guards against a restarted gateway that gets no full report because its previous
-/// incarnation had got one.
+/// Prevents a restarted gateway from getting no full report because its previous incarnation
+/// has received one.
 #[test]
 fn peer_reports_are_known_by_incarnation() {
     let mut fleet = Fleet::new(0);
@@ -367,8 +367,8 @@
     assert!(!fleet.peers.has_report("gw-1", 7), "a stale report is dropped");
 }
 
-/// Guards against a table that grows without bound as servers leave, and against a
-/// departure that is dropped before the retention period ends.
+/// Prevents the table from growing without bound as servers leave, and a departure from being
+/// dropped before the retention period ends.
 #[test]
 fn departures_of_unlisted_servers_expire() {
     let start = Instant::now();
@@ -386,8 +386,8 @@
     assert!(!fleet.departures.contains(server));
 }
 
-/// Guards against a stated departure that the server's row withdraws, and against one that
-/// is applied to the server's next incarnation.
+/// Prevents a stated departure from being withdrawn by the server's row, and from being applied
+/// to the server's next incarnation.
 #[test]
 fn stated_departures_outlive_rows() {
     let now = Instant::now();
@@ -407,7 +407,7 @@
     assert_eq!(available(&fleet, now), ["a", "b"], "after a restart");
 }
 
-/// Guards against a departure that is lost when a peer reports it before the server is listed here.
+/// Prevents a departure from being lost when a peer reports it before the server is listed here.
 #[test]
 fn departures_are_kept_for_servers_listed_later() {
     let now = Instant::now();
--- a/crates/gateway/tests/limit_division.rs
+++ b/crates/gateway/tests/limit_division.rs
@@ -11,8 +11,8 @@
 use umberglade_gateway::cluster::PlacementRequest;
 use umberglade_gateway::cluster::TokenBucket;
 use umberglade_gateway::cluster::limit_share;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::place_plain;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::RequestRate;
 use umberglade_gateway::model::ServerEntry;
@@ -114,7 +114,7 @@
     }
 
     fn fleet(&self, gateway: usize) -> Fleet {
-        let mut fleet = Fleet::new(server_digest(&format!("gw-{gateway}")));
+        let mut fleet = Fleet::new(name_digest(&format!("gw-{gateway}")));
         fleet.set_gateways(self.case.gateways);
         for server in 0..SERVERS {
             fleet.upsert(entry(&format!("s-{server}")), 1);
--- a/crates/gateway/tests/peer_totals.rs
+++ b/crates/gateway/tests/peer_totals.rs
@@ -12,9 +12,9 @@
 use umberglade_gateway::cluster::QueueUpdate;
 use umberglade_gateway::cluster::RetryCount;
 use umberglade_gateway::cluster::ServerTotals;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::place_engine;
 use umberglade_gateway::cluster::place_plain;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -217,13 +217,13 @@
             let load = LoadShare::of_stream(&shape);
             let at = peer % (case.decode + case.prefill);
             let update = PeerUpdate {
-                loads: vec![(server_digest(&format!("s{at}")), load)],
+                loads: vec![(name_digest(&format!("s{at}")), load)],
                 ..PeerUpdate::default()
             };
             fleet.peers.record(&format!("gw-{peer}"), 1, 1, update, now);
         }
         let domain: DomainKey = "z0".into();
-        let gateway = server_digest("gw");
+        let gateway = name_digest("gw");
         let need = PlacementRequest { service: "svc", gateway, domain: &domain, tried: &[], now };
         let before = fleet.peers.server_lookups();
         place_engine(&fleet, &spec, &shape, 0, &need).expect("capacity");
--- a/crates/gateway/tests/peer_traffic.rs
+++ b/crates/gateway/tests/peer_traffic.rs
@@ -9,8 +9,8 @@
 use umberglade_gateway::cluster::PeerReach;
 use umberglade_gateway::cluster::REMOTE_REPORT_INTERVAL;
 use umberglade_gateway::cluster::RetryCount;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::report_interval;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::cluster::shard_count;
 use umberglade_gateway::cluster::shares_shard;
 use umberglade_gateway::peers::LoadReport;
@@ -144,7 +144,7 @@
     let shards = shard_count(301, 2700);
     for (kind, count) in [("front", 301), ("i", 2700)] {
         for shard in 0..shards {
-            let digest = |index| server_digest(&format!("{kind}-{index}"));
+            let digest = |index| name_digest(&format!("{kind}-{index}"));
             let members = (0..count).filter(|index| shares_shard(digest(*index), shard, shards));
             let fraction = members.count() as f64 / (f64::from(count) / shards as f64);
             assert!(
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -11,9 +11,9 @@
 use umberglade_gateway::cluster::PlacementError;
 use umberglade_gateway::cluster::PlacementRequest;
 use umberglade_gateway::cluster::ServerOutcome;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::place_engine;
 use umberglade_gateway::cluster::place_plain;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
@@ -59,7 +59,7 @@
     tried: &'a [ServerKey],
     now: Instant,
 ) -> PlacementRequest<'a> {
-    PlacementRequest { service: "svc", gateway: server_digest("gw-1"), domain, tried, now }
+    PlacementRequest { service: "svc", gateway: name_digest("gw-1"), domain, tried, now }
 }
 
 fn calls(running: u32) -> LoadShare {
@@ -76,7 +76,7 @@
 }
 
 fn record(fleet: &mut Fleet, server: &str, outcome: ServerOutcome, now: Instant) {
-    fleet.record_outcome(server, server_digest(server), outcome, now);
+    fleet.record_outcome(server, name_digest(server), outcome, now);
 }
 
 /// One change to a fleet of three plain servers, with `a` in the gateway's own failure domain.
@@ -96,7 +96,7 @@
             fleet.add_load(server, calls(running), now);
         }
         Change::PeerLoad(server, running) => {
-            let loads = [(server_digest(server), calls(running))].into();
+            let loads = [(name_digest(server), calls(running))].into();
             let update = PeerUpdate { loads, ..PeerUpdate::default() };
             fleet.peers.record("peer", 1, 1, update, now);
         }
@@ -105,7 +105,7 @@
         }
         Change::PeersEject(server, peers) => {
             for peer in 0..peers {
-                let ejected = [server_digest(server)].into_iter().collect();
+                let ejected = [name_digest(server)].into_iter().collect();
                 let update = PeerUpdate { ejected, ..PeerUpdate::default() };
                 fleet.peers.record(&format!("peer-{peer}"), 1, 1, update, now);
             }
@@ -262,7 +262,7 @@
     }
 }
 
-/// Guards against bursts of requests to a decode server that has crashed. Its streams break, so it
+/// Prevents bursts of requests from going to a decode server that has crashed. Its streams break, so it
 /// has no load and looks like the emptiest server; each time its ejection ends, a burst of prompts
 /// would be prefilled for it in vain. Only one request at a time may probe it.
 #[test]
@@ -296,8 +296,8 @@
     assert_eq!(&*placed.server, "b");
 }
 
-/// Guards against gateways that all choose the same servers. Eighty gateways each place a stream
-/// within one report interval, before any of them receives the others' placements. With the same
+/// Prevents gateways from all choosing the same servers. Eighty gateways each place a stream
+/// within one report interval, before any of them receives reports of these placements. With the same
 /// ranking at all of them, every prompt queues at one prefill server and one decode server runs out
 /// of memory while the others are idle, and first tokens are late.
 #[test]
@@ -331,7 +331,7 @@
         let mut decodes: HashMap<ServerKey, usize> = HashMap::new();
         let mut prefills: HashMap<ServerKey, usize> = HashMap::new();
         for at in 0..case.gateways {
-            let gateway = server_digest(&format!("front-{at}"));
+            let gateway = name_digest(&format!("front-{at}"));
             let request = PlacementRequest { gateway, ..request(&domain, &[], now) };
             let place = place_engine(&fleet, &spec(), &SHAPE, 0, &request).unwrap();
             *decodes.entry(place.decode).or_default() += 1;
@@ -343,7 +343,7 @@
     }
 }
 
-/// Guards against a preference among equal servers that outweighs a whole request: a server with
+/// Prevents the preference among equal servers from outweighing a whole request: a server with
 /// load from a peer is skipped in favour of an idle one, whichever this gateway prefers.
 #[test]
 fn tie_breaking_never_outweighs_a_request() {
@@ -351,16 +351,16 @@
     let domain: DomainKey = "z1".into();
     for at in 0..50 {
         let mut fleet = fleet(ServerStage::Decode, &[("idle", "z1"), ("used", "z1")]);
-        let loads = [(server_digest("used"), streams(1, 0))].into();
+        let loads = [(name_digest("used"), streams(1, 0))].into();
         fleet.peers.record("peer", 1, 1, PeerUpdate { loads, ..PeerUpdate::default() }, now);
-        let gateway = server_digest(&format!("front-{at}"));
+        let gateway = name_digest(&format!("front-{at}"));
         let request = PlacementRequest { gateway, ..request(&domain, &[], now) };
         let place = place_engine(&fleet, &spec(), &SHAPE, 0, &request).unwrap();
         assert_eq!(&*place.decode, "idle", "gateway {at}");
     }
 }
 
-/// Guards against prefill queues that grow without bound when prefill servers fail or slow down in
+/// Prevents prefill queues from growing without bound when prefill servers fail or slow down in
 /// a burst. A decode server prefills a prompt more slowly, but immediately: beyond some queue
 /// length it finishes sooner, and the queue stops growing.
 #[test]
--- a/crates/gateway/tests/queue_order.rs
+++ b/crates/gateway/tests/queue_order.rs
@@ -24,9 +24,9 @@
     QueueUpdate { on_time: 0, first_age_ms, is_first_late: true, ..within_target(0, waiting) }
 }
 
-/// Gateways look for capacity at the same moment and choose the slot of their rank. If more
-/// requests are counted ahead than are looking, slots stay free that a request waits for; if fewer
-/// are, two gateways choose the same slot and one request is rejected.
+/// Gateways try for capacity at the same moment and choose the slot of their rank. If more requests
+/// are counted ahead than try, slots stay free that a request waits for; if fewer are, two gateways
+/// choose the same slot and one request is rejected.
 #[test]
 fn the_rank_among_all_queues() {
     struct RankCase {
@@ -97,11 +97,11 @@
     for case in cases {
         let mut peers = PeerReports::default();
         for (at, update) in case.peers.iter().enumerate() {
-            let news = PeerUpdate {
+            let peer_update = PeerUpdate {
                 queues: [(SERVICE, *update)].into_iter().collect(),
                 ..PeerUpdate::default()
             };
-            peers.record(&format!("peer-{at}"), 1, 1, news, now);
+            peers.record(&format!("peer-{at}"), 1, 1, peer_update, now);
         }
         let ahead = peers.queued_ahead(SERVICE, &case.local, now);
         assert_eq!(ahead, case.ahead, "{}", case.name);
--- a/crates/gateway/tests/quota_pool.rs
+++ b/crates/gateway/tests/quota_pool.rs
@@ -344,7 +344,7 @@
 /// Checks that requests within the limit are not rejected, although gateways only estimate what
 /// their peers grant.
 #[test]
-fn nothing_within_the_limit_is_refused() {
+fn nothing_within_the_limit_is_rejected() {
     for gateways in [6, 63, 195] {
         let mut fleet = Fleet::new(gateways, 5, 3);
         // 0.9 of the rate, at any gateway.
--- a/crates/gateway/tests/server_backoffs.rs
+++ b/crates/gateway/tests/server_backoffs.rs
@@ -45,7 +45,7 @@
     place_plain(fleet, &request).is_ok()
 }
 
-/// Guards against a later rejection with a shorter delay that ends a backoff early.
+/// Prevents a later rejection with a shorter delay from ending a backoff early.
 #[test]
 fn a_backoff_ends_at_the_latest_requested_time() {
     struct Case {
@@ -89,7 +89,7 @@
     }
 }
 
-/// Guards against placing or sending requests during a backoff.
+/// Prevents requests from being placed or sent during a backoff.
 #[test]
 fn no_request_is_sent_during_a_backoff() {
     let now = Instant::now();
@@ -105,7 +105,7 @@
     assert!(is_placed(&fleet, until) && fleet.take_send_token(server, until));
 }
 
-/// Guards against a gateway that sends requests during a backoff after a restart.
+/// Prevents a gateway from sending requests during a backoff after a restart.
 #[test]
 fn a_restarted_gateway_learns_its_backoffs_from_peers() {
     let now = Instant::now();
@@ -126,8 +126,8 @@
     assert!(is_placed(&restarted, now + Duration::from_millis(3010)));
 }
 
-/// Guards against reports that exceed the maximum datagram size while hundreds of servers
-/// leave or request a backoff.
+/// Prevents reports from exceeding the maximum datagram size while hundreds of servers leave or
+/// request a backoff.
 #[test]
 fn reports_of_many_departures_and_backoffs_fit() {
     const SERVERS: u64 = 890;
--- a/crates/gateway/tests/server_limits.rs
+++ b/crates/gateway/tests/server_limits.rs
@@ -23,7 +23,7 @@
 
 /// Checks that a response that is out of order or has an unreadable limit does not lift a limit.
 #[test]
-fn answers_update_the_limit() {
+fn responses_update_the_limit() {
     struct Case {
         name: &'static str,
         responses: Vec<Response>,
--- a/crates/gateway/tests/shared_crashes.rs
+++ b/crates/gateway/tests/shared_crashes.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 use std::time::Instant;
 
+use umberglade_gateway::cluster::AttemptOutcome;
 use umberglade_gateway::cluster::CrashDetector;
 use umberglade_gateway::cluster::OutcomeUpdate;
 use umberglade_gateway::cluster::QuarantineVerdict;
 use umberglade_gateway::cluster::RowChange;
-use umberglade_gateway::cluster::SendOutcome;
 
 const POISON: u64 = 7;
 const POPULAR: u64 = 8;
@@ -79,7 +79,7 @@
     let mut detector = CrashDetector::default();
     crash_three(&mut detector, [0; 3], 57, now);
     assert!(detector.status(POPULAR, now).is_some());
-    let outcome = SendOutcome::Lived(200);
+    let outcome = AttemptOutcome::Lived(200);
     detector.apply_peer_outcome(OutcomeUpdate { content: POPULAR, outcome, age_ms: 2 }, now);
     assert!(detector.status(POPULAR, now).is_none());
     assert!(detector.status(POISON, now).is_some());
@@ -93,7 +93,7 @@
     let mut detector = CrashDetector::default();
     crash_three(&mut detector, [0, 141, 0], 57, now);
     for id in 1..=3 {
-        let outcome = SendOutcome::Crashed(id);
+        let outcome = AttemptOutcome::Crashed(id);
         detector.apply_peer_outcome(
             OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 },
             now + ms(5),
@@ -177,7 +177,7 @@
             let mut detector = CrashDetector::new(now);
             let report = |detector: &mut CrashDetector| {
                 if let Some(version) = case.void_up_to {
-                    let outcome = SendOutcome::Cleared(version);
+                    let outcome = AttemptOutcome::Cleared(version);
                     detector.apply_peer_outcome(
                         OutcomeUpdate { content: POPULAR, outcome, age_ms: 5 },
                         now,
@@ -214,6 +214,6 @@
     detector.take_row_changes();
     detector.record_completion(POPULAR, 99, now);
     assert_eq!(detector.take_row_changes(), [RowChange::Remove(POPULAR, 12)]);
-    let is_reported = |update: &OutcomeUpdate| update.outcome == SendOutcome::Cleared(12);
+    let is_reported = |update: &OutcomeUpdate| update.outcome == AttemptOutcome::Cleared(12);
     assert!(detector.updates(false, now).iter().any(is_reported));
 }
--- a/crates/gateway/tests/stage_monitor.rs
+++ b/crates/gateway/tests/stage_monitor.rs
@@ -33,8 +33,8 @@
     Some(StageChange { to: ServerStage::Decode, count })
 }
 
-/// Guards against requests queued for decode capacity in bursts of twice the usual load while most
-/// prefill servers are idle. Engines change when there are clearly more prefill servers than the
+/// Prevents requests from queueing for decode capacity, in bursts of twice the usual load, while
+/// most prefill servers are idle. Engines change when there are clearly more prefill servers than the
 /// target, or requests have been queued for a while, and never so many that prefill becomes the
 /// bottleneck or the loss of a failure domain leaves none.
 #[test]
@@ -144,7 +144,7 @@
     }
 }
 
-/// Guards against a second set of stage changes while engines are away for the first, which takes
+/// Prevents a second set of stage changes while engines are unavailable for the first, which takes
 /// seconds: both would respond to the same burst.
 #[test]
 fn a_change_is_followed_by_a_cooldown() {
@@ -189,7 +189,7 @@
     assert_eq!(available.count(), 0, "an engine that changes its stage receives no work");
 }
 
-/// Guards against two leaders at a time. A gateway freezes after its claim, and another one that
+/// Prevents two leaders at the same time. A gateway freezes after its claim, and another one that
 /// wants to act must wait until the claim has expired by the store's clock.
 #[test]
 fn leadership_is_claimed_by_one_gateway_at_a_time() {
--- a/crates/gateway/tests/table_readers.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Clone, Copy)]
 enum Step {
-    /// The store answers the gateway's read with content of this fingerprint.
+    /// The store responds to the gateway's read with content of this fingerprint.
     Read(u64),
     ReadFailed,
     /// Rows from peers are applied, which leaves this fingerprint.
