--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -32,7 +32,7 @@
     occupancy: u64,
     /// When the caller sent its first request.
     first_requested_at: Instant,
-    /// A response to a request that is placed before this time is within its latency target.
+    /// A request that is placed before this time is expected to be within its latency target.
     target_deadline: Instant,
 }
 
@@ -72,7 +72,7 @@
     /// The request's expected use of an engine: KV cache tokens times the milliseconds for which it
     /// is expected to hold them.
     pub occupancy: u64,
-    /// A response to a request that is placed before this time is within its latency target.
+    /// A request that is placed before this time is expected to be within its latency target.
     pub target_deadline: Instant,
     /// How long the caller has been retrying, counted from its first request; zero for a new
     /// caller.
--- a/crates/gateway/src/cluster/crash_records.rs
+++ b/crates/gateway/src/cluster/crash_records.rs
@@ -92,7 +92,12 @@
             return None;
         }
         let own_rank = rank(fingerprint, record);
-        Some(others.iter().filter(|(other, record)| rank(*other, record) < own_rank).count())
+        Some(
+            others
+                .iter()
+                .filter(|(other, other_record)| rank(*other, other_record) < own_rank)
+                .count(),
+        )
     }
 
     /// Marks the fingerprints that are quarantined for the same server crashes as others.
--- a/crates/gateway/src/cluster/in_force.rs
+++ b/crates/gateway/src/cluster/in_force.rs
@@ -18,7 +18,7 @@
 /// The configuration in force.
 ///
 /// Invariant: its row version never decreases. Prevents a late or stale response of the store from
-/// restoring old routes, which would send requests to services to which the routes no longer lead.
+/// restoring removed routes, which would send requests to services to which no route leads.
 #[derive(Debug, Default)]
 pub struct InForce {
     current: Option<(StoreVersion, Arc<RouteTable>)>,
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -161,7 +161,10 @@
 
     /// Returns the retries that fresh reports count for the service with `digest`.
     pub fn retries(&self, digest: u64, now: Instant) -> PeerRetries {
-        PeerRetries { gateways: self.fresh_count(now), count: self.service(digest, now).retries() }
+        PeerRetries {
+            fresh_peers: self.fresh_count(now),
+            count: self.service(digest, now).retries(),
+        }
     }
 
     /// Returns how many requests for the service with `digest` are entitled to capacity at peers
--- a/crates/gateway/src/cluster/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -114,9 +114,8 @@
     let decode_servers =
         healthy_or_all(&engines, request.now, |stage| stage != ServerStage::Prefill);
     let prompt_ms = f64::from(shape.prompt_tokens) / PREFILL_TOKENS_PER_MS;
-    let prefill_cost = |candidate: &Candidate<'_>| {
-        candidate.prefill_cost() + tie_break(request, candidate.server_state) * prompt_ms
-    };
+    let prefill_cost =
+        |one: &Candidate<'_>| one.prefill_cost() + tie_break(request, one.server_state) * prompt_ms;
     let prefill_servers =
         healthy_or_all(&engines, request.now, |stage| stage == ServerStage::Prefill);
     let prefill_servers = DomainPrefillServers::new(&prefill_servers, prefill_cost);
--- a/crates/gateway/src/cluster/quota_view.rs
+++ b/crates/gateway/src/cluster/quota_view.rs
@@ -20,7 +20,7 @@
     /// Number of peers with recent reports.
     pub live_peers: usize,
     /// Number of registered gateways, this one included.
-    pub members: usize,
+    pub gateways: usize,
     /// Maximum age of what peers report, under normal conditions.
     pub report_age: Duration,
     /// Time since the last report of any peer, at least `report_age`. Peers may not know what this
@@ -38,7 +38,7 @@
     /// Returns this gateway and its live peers as a fraction of all registered gateways.
     pub fn fraction(&self) -> f64 {
         let reporting = self.live_peers + 1;
-        reporting as f64 / self.members.max(reporting) as f64
+        reporting as f64 / self.gateways.max(reporting) as f64
     }
 
     /// Returns the units that this gateway and its live peers may grant in a window, where callers
--- a/crates/gateway/src/cluster/retry_budget.rs
+++ b/crates/gateway/src/cluster/retry_budget.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PeerRetries {
     /// Number of peers with a fresh report.
-    pub gateways: usize,
+    pub fresh_peers: usize,
     /// Sum of their counts.
     pub count: RetryCount,
 }
@@ -105,24 +105,24 @@
 
     /// Returns true if one retry is allowed, and counts it.
     ///
-    /// `members` is the number of gateways, including this one. `priority` determines how much must
+    /// `gateways` is the number of gateways, including this one. `priority` determines how much must
     /// be left for other retries.
     pub fn consume(
         &mut self,
         service: &ServiceName,
-        members: usize,
+        gateways: usize,
         peers: PeerRetries,
         priority: RetryPriority,
         now: Instant,
     ) -> bool {
         let local = self.count(service, now);
         let requests = f64::from(local.requests + peers.count.requests);
-        let known = (peers.gateways + 1).min(members.max(1));
-        let slack = self.slack * known as f64 / members.max(1) as f64 * self.uptime_fraction(now);
+        let known = (peers.fresh_peers + 1).min(gateways.max(1));
+        let slack = self.slack * known as f64 / gateways.max(1) as f64 * self.uptime_fraction(now);
         let bound = (self.ratio * requests + slack) * USABLE_FRACTION * priority.fraction();
         let used = f64::from(local.repeats + peers.count.repeats);
         if used + 1.0 > bound.max(1.0)
-            || !self.is_within_local_share(service, members, bound - used, now)
+            || !self.is_within_local_share(service, gateways, bound - used, now)
         {
             return false;
         }
@@ -138,17 +138,17 @@
     fn is_within_local_share(
         &self,
         service: &ServiceName,
-        members: usize,
+        gateways: usize,
         left: f64,
         now: Instant,
     ) -> bool {
-        let lag = report_interval(members) * MAX_COUNT_AGE_REPORTS;
+        let lag = report_interval(gateways) * MAX_COUNT_AGE_REPORTS;
         let recent = self.counts.get(service).map_or(0, |buckets| {
             let is_recent =
                 |bucket: &&Bucket| now.saturating_duration_since(bucket.started_at) < lag;
             buckets.iter().filter(is_recent).map(|bucket| bucket.count.repeats).sum()
         });
-        let share = left / members.max(1) as f64;
+        let share = left / gateways.max(1) as f64;
         let available = share - f64::from(recent);
         available >= 1.0 || (available > 0.0 && fastrand::f64() < available)
     }
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -46,19 +46,19 @@
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
 /// The outcome of one attempt.
-enum AttemptOutcome {
+enum SendOutcome {
     /// The server's complete response.
     Responded(Response<GatewayBody>),
     Failed(SendFailure),
 }
 
-impl AttemptOutcome {
+impl SendOutcome {
     fn is_final(&self, call: &Call) -> bool {
         match self {
-            AttemptOutcome::Responded(response) => {
+            SendOutcome::Responded(response) => {
                 !(call.route.is_repeatable() && response.status().is_server_error())
             }
-            AttemptOutcome::Failed(_) => false,
+            SendOutcome::Failed(_) => false,
         }
     }
 }
@@ -100,7 +100,7 @@
             }
         };
         if outcome.is_final(&call) {
-            let AttemptOutcome::Responded(response) = outcome else {
+            let SendOutcome::Responded(response) = outcome else {
                 unreachable!("only responses are final")
             };
             return complete(&call, response, &attempts);
@@ -111,20 +111,16 @@
 }
 
 /// Records an outcome that is not final.
-fn record_non_final(
-    outcome: AttemptOutcome,
-    attempts: &mut Attempts,
-    earlier: &mut EarlierOutcomes,
-) {
+fn record_non_final(outcome: SendOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
     match outcome {
-        AttemptOutcome::Responded(response) => {
+        SendOutcome::Responded(response) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
             earlier.error_response = Some(response);
         }
-        AttemptOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
-        AttemptOutcome::Failed(failure) if failure.is_not_run() => {}
-        AttemptOutcome::Failed(_) => {
+        SendOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
+        SendOutcome::Failed(failure) if failure.is_not_run() => {}
+        SendOutcome::Failed(_) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
         }
@@ -148,11 +144,11 @@
 async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
-    mut first: std::pin::Pin<&mut impl Future<Output = AttemptOutcome>>,
+    mut first: std::pin::Pin<&mut impl Future<Output = SendOutcome>>,
     after: Duration,
     attempts: &mut Attempts,
     earlier: &mut EarlierOutcomes,
-) -> Option<AttemptOutcome> {
+) -> Option<SendOutcome> {
     if let Some(outcome) = by_deadline(Instant::now() + after, first.as_mut()).await {
         return Some(outcome);
     }
@@ -214,9 +210,9 @@
     call: &Arc<Call>,
     server: ServerKey,
     permit: SendPermit,
-) -> AttemptOutcome {
+) -> SendOutcome {
     let Some(target) = exchange::send_target(state, &server) else {
-        return AttemptOutcome::Failed(SendFailure::Unsent);
+        return SendOutcome::Failed(SendFailure::Unsent);
     };
     let _load_guard = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
@@ -228,7 +224,7 @@
     };
     match exchange::exchange::<C>(state, call, &target, &order, permit, time_left).await {
         Ok(reply) => read_response::<C>(state, call, &target, reply).await,
-        Err(failure) => AttemptOutcome::Failed(failure),
+        Err(failure) => SendOutcome::Failed(failure),
     }
 }
 
@@ -238,7 +234,7 @@
     call: &Call,
     target: &SendTarget,
     reply: OpenReply,
-) -> AttemptOutcome {
+) -> SendOutcome {
     let (parts, body) = reply.response.into_parts();
     let read = match by_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
@@ -248,7 +244,7 @@
     let body: Bytes = match read {
         Ok(body) => body,
         Err((failure, problem)) => {
-            return AttemptOutcome::Failed(exchange::record_failure(
+            return SendOutcome::Failed(exchange::record_failure(
                 state, call, target, failure, &problem,
             ));
         }
@@ -264,7 +260,7 @@
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::reply_headers(&parts.headers);
-    AttemptOutcome::Responded(response)
+    SendOutcome::Responded(response)
 }
 
 fn complete(
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -41,7 +41,7 @@
         let report_age = interval + REPORT_DELAY;
         QuotaView {
             live_peers,
-            members: self.members(),
+            gateways: self.members(),
             report_age,
             since_last_report: since_last_report.unwrap_or(Duration::MAX).max(report_age),
             window: self.settings.quota_window,
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -98,7 +98,7 @@
             left,
             part = view.fraction(),
             gateways_heard = view.live_peers,
-            gateways = view.members,
+            gateways = view.gateways,
             unheard_ms = view.since_last_report.as_millis() as u64,
             retry_after_ms = retry_after.as_millis() as u64,
             "request rejected by quota"
--- a/crates/gateway/tests/quota_pool.rs
+++ b/crates/gateway/tests/quota_pool.rs
@@ -134,7 +134,7 @@
         let since_last_report = since_last_report.max(report_interval(live_peers) + STEP);
         QuotaView {
             live_peers,
-            members: self.gateways.len(),
+            gateways: self.gateways.len(),
             report_age: report_interval(live_peers) + STEP,
             since_last_report,
             window: WINDOW,
--- a/crates/gateway/tests/retries.rs
+++ b/crates/gateway/tests/retries.rs
@@ -46,12 +46,12 @@
     }
 
     fn repeat(&mut self, gateway: usize, now: Instant) -> bool {
-        let members = self.budgets.len();
+        let gateways = self.budgets.len();
         let peers =
             if self.are_connected { self.peer_retries(gateway) } else { PeerRetries::default() };
         let is_allowed = self.budgets[gateway].consume(
             &self.service,
-            members,
+            gateways,
             peers,
             RetryPriority::Needed,
             now,
@@ -65,7 +65,7 @@
     fn peer_retries(&self, gateway: usize) -> PeerRetries {
         let peers = self.reported.iter().enumerate().filter(|(at, _)| *at != gateway);
         peers.fold(PeerRetries::default(), |sum, (_, count)| PeerRetries {
-            gateways: sum.gateways + 1,
+            fresh_peers: sum.fresh_peers + 1,
             count: RetryCount {
                 requests: sum.count.requests + count.requests,
                 repeats: sum.count.repeats + count.repeats,
