--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -80,7 +80,7 @@
 }
 
 impl QueueUpdate {
-    /// Returns true when the head of this queue precedes the head of `other`, whichever gateways
+    /// Returns true if the head of this queue precedes the head of `other`, whichever gateways
     /// they wait at.
     pub fn precedes(&self, other: &QueueUpdate) -> bool {
         let key = |update: &QueueUpdate| match update.is_first_late {
@@ -103,11 +103,11 @@
 /// Requests of one service that wait for engine capacity.
 ///
 /// Requests that can still be within their latency target go first, those of least occupancy before
-/// those of greater: when capacity does not suffice for all, this order serves the most callers within
-/// target. Requests past their target share the remaining capacity in the order of their callers'
-/// first requests, because a caller that has been rejected once does not retry a second time. In a
-/// burst longer than the target, first-come-first-served would make every response late; with this
-/// order, requests past their target do not delay the others past theirs.
+/// those of greater: when capacity does not suffice for all, this order serves the most callers
+/// within target. Requests past their target share the remaining capacity in the order of their
+/// callers' first requests, because a caller that has been rejected once does not retry a second
+/// time. In a burst longer than the target, first-come-first-served would make every response late;
+/// with this order, requests past their target do not delay the others past theirs.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     queued: BTreeMap<Ticket, QueuedRequest>,
@@ -239,7 +239,7 @@
         self.queued.len()
     }
 
-    /// Returns true when no request is queued.
+    /// Returns true if no request is queued.
     pub fn is_empty(&self) -> bool {
         self.queued.is_empty()
     }
@@ -270,12 +270,13 @@
         self.placement_time(self.queued.len() + peers.waiting as usize, peers, now)
     }
 
-    /// Predicts how long placing `count` requests takes; zero while there is capacity or the rate is
-    /// unknown.
+    /// Predicts how long placing `count` requests takes; zero while there is capacity or the rate
+    /// is unknown.
     ///
-    /// Prevents rejections before the engines are full: until then, the placement rate shows
-    /// how fast requests arrive, not how fast engines can take them. Without this condition, of 80 simultaneous callers 16 are
-    /// rejected after four placements, while the engines have capacity for 25 more.
+    /// Prevents rejections before the engines are full: until then, the placement rate shows how
+    /// fast requests arrive, not how fast engines can take them. Without this condition, of 80
+    /// simultaneous callers 16 are rejected after four placements, while the engines have capacity
+    /// for 25 more.
     fn placement_time(&self, count: usize, peers: PeerQueues, now: Instant) -> Duration {
         let placement_rate = self.placement_rate.per_second(now) + peers.placement_rate;
         let is_rate_known =
--- a/crates/gateway/src/cluster/config_watch.rs
+++ b/crates/gateway/src/cluster/config_watch.rs
@@ -37,14 +37,15 @@
         self.fresh_at = self.fresh_at.max(Some(at));
     }
 
-    /// Returns true if a read may be requested, which interrupts the read that waits for changes.
-    pub fn may_request_read(&mut self, now: Instant) -> bool {
+    /// Returns true if a read may be requested now, and counts it as requested. It interrupts the
+    /// read that waits for changes.
+    pub fn try_request_read(&mut self, now: Instant) -> bool {
         let is_due = |at: Instant| now.saturating_duration_since(at) >= READ_REQUEST_INTERVAL;
-        let may_request_read = self.requested_at.is_none_or(is_due);
-        if may_request_read {
+        let is_allowed = self.requested_at.is_none_or(is_due);
+        if is_allowed {
             self.requested_at = Some(now);
         }
-        may_request_read
+        is_allowed
     }
 
     /// Returns true if `local`, the version in force, is the newest one known and matched the store
--- a/crates/gateway/src/cluster/first_event_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -14,8 +14,8 @@
 ///
 /// When all gateways restart, callers return at once and streams take a second to start. Gateways
 /// that serve two streams a second must discount those streams within seconds: with 0.05 it takes
-/// 12 s, during which no stream is within its target. Noise of a few streams at one gateway is evened out by
-/// pooling the means of all gateways.
+/// 12 s, during which no stream is within its target. Noise of a few streams at one gateway is
+/// evened out by pooling the means of all gateways.
 const MIN_SAMPLE_WEIGHT: f64 = 0.25;
 /// Maximum fraction of the latency target that a stream is assumed to need for its first event.
 ///
--- a/crates/gateway/src/cluster/fleet.rs
+++ b/crates/gateway/src/cluster/fleet.rs
@@ -245,7 +245,7 @@
         expired.iter().filter_map(|(key, version)| self.drop_server(key, *version, now)).collect()
     }
 
-    /// Returns true when any limit, departure or backoff stated by a server is known.
+    /// Returns true if any limit, departure or backoff stated by a server is known.
     fn has_flow_control(&self) -> bool {
         !(self.limits.is_empty() && self.departures.is_empty() && self.backoffs.is_empty())
     }
--- a/crates/gateway/src/cluster/fleet_limits.rs
+++ b/crates/gateway/src/cluster/fleet_limits.rs
@@ -42,7 +42,7 @@
         Some(change)
     }
 
-    /// Records that `server` requests a backoff of `delay` from this gateway. Returns true when it
+    /// Records that `server` requests a backoff of `delay` from this gateway. Returns true if it
     /// ends later than the known one.
     pub fn record_backoff(
         &mut self,
@@ -53,7 +53,7 @@
         self.backoffs.record(server, self.digest, now + delay, now)
     }
 
-    /// Applies a backoff reported by a peer. Returns true when it concerns this gateway and ends
+    /// Applies a backoff reported by a peer. Returns true if it concerns this gateway and ends
     /// later than the known one.
     pub fn apply_peer_backoff(&mut self, update: BackoffUpdate, now: Instant) -> bool {
         let until = now + Duration::from_millis(u64::from(update.left_ms));
@@ -74,20 +74,20 @@
         self.backoffs.updates(self.digest, reports_all_of, now)
     }
 
-    /// Returns true when no backoff of the server is in force for this gateway and its rate limit
+    /// Returns true if no backoff of the server is in force for this gateway and its rate limit
     /// allows a request now.
     pub(super) fn may_send(&self, server_state: &ServerState, now: Instant) -> bool {
         let server = server_state.incarnation;
         self.backoffs.until(server, self.digest, now).is_none() && self.limits.may_send(server, now)
     }
 
-    /// Returns true when the server with the id `key` states a limit.
+    /// Returns true if the server with the id `key` states a limit.
     pub fn has_limit(&self, key: &str) -> bool {
         self.server(key)
             .is_some_and(|server_state| self.limits.limit(server_state.incarnation).is_some())
     }
 
-    /// Takes a token for a request that is about to be sent to `server`. Returns false when a
+    /// Takes a token for a request that is about to be sent to `server`. Returns false if a
     /// backoff or its rate limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         self.backoffs.until(server, self.digest, now).is_none()
--- a/crates/gateway/src/cluster/limit_share.rs
+++ b/crates/gateway/src/cluster/limit_share.rs
@@ -23,8 +23,8 @@
 /// Returns the requests per second that a gateway may send to a server with `limit`.
 ///
 /// The first few gateways by rank have equal shares; those after them have none and use servers
-/// without a limit. Prevents hundreds of gateways that each hold a token from all sending at the same
-/// time.
+/// without a limit. Prevents hundreds of gateways that each hold a token from all sending at the
+/// same time.
 pub fn limit_share(limit: RequestRate, rank: LimitRank) -> f64 {
     let rate = limit.per_second().max(MIN_RATE);
     let max_sharing = (GATEWAYS_PER_RATE * rate + MIN_GATEWAYS) as usize;
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -202,7 +202,8 @@
     /// Returns true if this gateway, with digest `local`, should act for its whole shard: it has
     /// the lowest digest of the gateways that have read the store for `stable_for`.
     ///
-    /// Several gateways may get true at the same time, so a candidate must claim leadership before it acts.
+    /// Several gateways may get true at the same time, so a candidate must claim leadership before
+    /// it acts.
     pub fn is_leader_candidate(&self, local: u64, stable_for: Duration, now: Instant) -> bool {
         self.reports
             .iter()
--- a/crates/gateway/src/cluster/pooled_count.rs
+++ b/crates/gateway/src/cluster/pooled_count.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Returns true when `value` can be a time, a count or a sum of them.
+/// Returns true if `value` can be a time, a count or a sum of them.
 ///
 /// Prevents a datagram that no gateway sent from corrupting the estimates: NaN or a value out of
 /// bounds would spoil every mean that it is pooled with, and converting it to a duration would
--- a/crates/gateway/src/cluster/quota_account.rs
+++ b/crates/gateway/src/cluster/quota_account.rs
@@ -97,7 +97,7 @@
         account
     }
 
-    /// Sets the limit. Returns false when it is unchanged.
+    /// Sets the limit. Returns false if it is unchanged.
     pub fn set_limit(&mut self, limit: QuotaLimit) -> bool {
         let is_changed = limit != self.limit;
         self.limit = limit;
--- a/crates/gateway/src/cluster/quota_pool.rs
+++ b/crates/gateway/src/cluster/quota_pool.rs
@@ -40,9 +40,9 @@
 /// Each gateway charges the requests that it grants to its own copy of a window that covers all
 /// gateways, reports its totals to its peers and adds what they charged. No gateway owns a quota.
 /// When callers request more than is left before reports include it, each gateway grants only the
-/// fraction of the requests that what is left suffices for. Until a gateway receives reports again, it grants no
-/// more than its share of the demand; one that receives reports of few peers grants no more than
-/// its fraction of the quota.
+/// fraction of the requests that what is left suffices for. Until a gateway receives reports again,
+/// it grants no more than its share of the demand; one that receives reports of few peers grants no
+/// more than its fraction of the quota.
 #[derive(Debug)]
 pub struct QuotaPool {
     started_at: Instant,
@@ -162,8 +162,8 @@
         updates.collect()
     }
 
-    /// Returns what this gateway charged within the window, for remote peers, which receive reports at
-    /// longer intervals.
+    /// Returns what this gateway charged within the window, for remote peers, which receive reports
+    /// at longer intervals.
     pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         let accounts = self
             .accounts
--- a/crates/gateway/src/cluster/retry_budget.rs
+++ b/crates/gateway/src/cluster/retry_budget.rs
@@ -105,8 +105,8 @@
 
     /// Returns true if one retry is allowed, and counts it.
     ///
-    /// `gateways` is the number of gateways, including this one. `priority` determines how much must
-    /// be left for other retries.
+    /// `gateways` is the number of gateways, including this one. `priority` determines how much
+    /// must be left for other retries.
     pub fn consume(
         &mut self,
         service: &ServiceName,
--- a/crates/gateway/src/cluster/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -37,7 +37,7 @@
 
 impl ServerBackoffs {
     /// Records that `server` requests a backoff from `gateway` until `until`, unless the known one
-    /// ends no earlier. Returns true when it was recorded.
+    /// ends no earlier. Returns true if it was recorded.
     pub fn record(
         &mut self,
         server: ServerIncarnation,
--- a/crates/gateway/src/cluster/server_departures.rs
+++ b/crates/gateway/src/cluster/server_departures.rs
@@ -21,7 +21,7 @@
 }
 
 impl ServerDepartures {
-    /// Records that `server` is draining. Returns true when a new entry was added.
+    /// Records that `server` is draining. Returns true if a new entry was added.
     pub fn record(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         let is_new = !self.contains(server);
         self.known_since.get_or_insert_with(server, now, || now).is_some() && is_new
--- a/crates/gateway/src/cluster/server_health.rs
+++ b/crates/gateway/src/cluster/server_health.rs
@@ -25,8 +25,8 @@
 }
 
 /// Half-life of the failure fraction while no outcomes are recorded. Short enough that a server
-/// that has recovered is used again within twice the latency target of a stream; long enough to cover
-/// the gaps between requests to one of 18 servers.
+/// that has recovered is used again within twice the latency target of a stream; long enough to
+/// cover the gaps between requests to one of 18 servers.
 const HALF_LIFE: Duration = Duration::from_millis(2500);
 /// Weight of one outcome in the failure fraction.
 const SAMPLE_WEIGHT: f64 = 0.25;
--- a/crates/gateway/src/cluster/server_limits.rs
+++ b/crates/gateway/src/cluster/server_limits.rs
@@ -115,12 +115,12 @@
         }
     }
 
-    /// Returns true when the limit of `server` allows this gateway a request now.
+    /// Returns true if the limit of `server` allows this gateway a request now.
     pub fn may_send(&self, server: ServerIncarnation, now: Instant) -> bool {
         self.active_limit(server).is_none_or(|limit| limit.bucket.has_token(now))
     }
 
-    /// Takes a token for a request that is about to be sent to `server`. Returns false when its
+    /// Takes a token for a request that is about to be sent to `server`. Returns false if its
     /// limit allows none now.
     pub fn take_send_token(&mut self, server: ServerIncarnation, now: Instant) -> bool {
         match self.limits.get_mut(server) {
@@ -150,7 +150,7 @@
         self.limits.len()
     }
 
-    /// Returns true when no server has stated a limit.
+    /// Returns true if no server has stated a limit.
     pub fn is_empty(&self) -> bool {
         self.limits.is_empty()
     }
--- a/crates/gateway/src/cluster/server_shards.rs
+++ b/crates/gateway/src/cluster/server_shards.rs
@@ -22,7 +22,7 @@
     1 << max_shards.ilog2()
 }
 
-/// Returns true when two digests, of gateways or servers, fall into the same of `count` shards.
+/// Returns true if two digests, of gateways or servers, fall into the same of `count` shards.
 /// `count` must be a power of two.
 pub fn shares_shard(left: u64, right: u64, count: u64) -> bool {
     (left ^ right) & (count - 1) == 0
--- a/crates/gateway/src/cluster/server_state.rs
+++ b/crates/gateway/src/cluster/server_state.rs
@@ -49,7 +49,7 @@
         self.outdated_until.is_some_and(|until| now < until)
     }
 
-    /// Returns true when the server is available to new work.
+    /// Returns true if the server is available to new work.
     pub fn is_available(&self, now: Instant) -> bool {
         let is_row_valid = !self.is_unreadable && !self.is_outdated(now);
         !self.entry.is_leaving && is_row_valid && self.expires_at.is_none_or(|at| now < at)
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -25,10 +25,10 @@
 ///
 /// Prevents engines from being taken from the stage that is about to become the bottleneck. How
 /// busy prefill servers are says little: they are idle before a burst, and a prompt in those steps
-/// of its engine that take constant time looks like one being prefilled. Judged by that, two of five prefill servers
-/// are ordered to decode at the start of a burst, prompts queue for seconds, and callers get 0.60
-/// of the value of what they request, against 0.69 with one ordered. What a stream takes of either
-/// stage does not depend on how many arrive.
+/// of its engine that take constant time looks like one being prefilled. Judged by that, two of
+/// five prefill servers are ordered to decode at the start of a burst, prompts queue for seconds,
+/// and callers get 0.60 of the value of what they request, against 0.69 with one ordered. What a
+/// stream takes of either stage does not depend on how many arrive.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageBalance {
     pub reading: PrefillRate,
--- a/crates/gateway/src/cluster/table_row_set.rs
+++ b/crates/gateway/src/cluster/table_row_set.rs
@@ -61,7 +61,8 @@
         true
     }
 
-    /// Replaces the content by a complete listing as of `version`; returns the keys of deleted rows.
+    /// Replaces the content by a complete listing as of `version`; returns the keys of deleted
+    /// rows.
     pub fn replace<'a>(
         &mut self,
         rows: impl Iterator<Item = (&'a str, StoreVersion, RowDigest)>,
--- a/crates/gateway/src/cluster/token_bucket.rs
+++ b/crates/gateway/src/cluster/token_bucket.rs
@@ -31,12 +31,12 @@
         self.updated_at = now;
     }
 
-    /// Returns true when a token is available.
+    /// Returns true if a token is available.
     pub fn has_token(&self, now: Instant) -> bool {
         self.tokens_at(now) >= 1.0
     }
 
-    /// Takes a token. Returns false when none is available.
+    /// Takes a token. Returns false if none is available.
     pub fn take(&mut self, now: Instant) -> bool {
         if !self.has_token(now) {
             return false;
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -63,7 +63,7 @@
 
     /// Has the configuration read at once, unless that was asked for a moment ago.
     pub fn ask_for_config(&self) {
-        if self.with_config_watch(|watch| watch.may_request_read(Instant::now())) {
+        if self.with_config_watch(|watch| watch.try_request_read(Instant::now())) {
             self.config_due.notify(usize::MAX);
         }
     }
--- a/crates/gateway/tests/config_watch.rs
+++ b/crates/gateway/tests/config_watch.rs
@@ -56,6 +56,6 @@
     let mut watch = ConfigWatch::default();
     let started_at = Instant::now();
     let granted =
-        (0..100).filter(|at| watch.may_request_read(started_at + Duration::from_millis(at * 10)));
+        (0..100).filter(|at| watch.try_request_read(started_at + Duration::from_millis(at * 10)));
     assert_eq!(granted.count(), 4);
 }
--- a/crates/gateway/tests/crash_detector.rs
+++ b/crates/gateway/tests/crash_detector.rs
@@ -39,17 +39,15 @@
 
 impl Step {
     fn take(self, detector: &mut CrashDetector, now: Instant) {
-        let apply_peer_outcome = |detector: &mut CrashDetector, outcome, age_ms| {
+        let apply_outcome = |detector: &mut CrashDetector, outcome, age_ms| {
             detector.apply_peer_outcome(OutcomeUpdate { content: REQUEST, outcome, age_ms }, now);
         };
         match self {
             Step::Crash(id) => drop(detector.record_crash(REQUEST, id, Duration::ZERO, now)),
-            Step::PeerCrash(id, age) => {
-                apply_peer_outcome(detector, AttemptOutcome::Crashed(id), age)
-            }
+            Step::PeerCrash(id, age) => apply_outcome(detector, AttemptOutcome::Crashed(id), age),
             Step::OtherCompletion(server) => drop(detector.record_completion(OTHER, server, now)),
             Step::Completion => drop(detector.record_completion(REQUEST, HEALTHY_SERVER, now)),
-            Step::PeerCompletion(age) => apply_peer_outcome(detector, AttemptOutcome::Whole, age),
+            Step::PeerCompletion(age) => apply_outcome(detector, AttemptOutcome::Whole, age),
             Step::Row(version) => drop(detector.apply_row(REQUEST, 0, version, false, now)),
             Step::MissingRow(version) => drop(detector.apply_missing_row(REQUEST, version, now)),
         }
--- a/crates/gateway/tests/first_event_time.rs
+++ b/crates/gateway/tests/first_event_time.rs
@@ -20,8 +20,9 @@
     first_event_time
 }
 
-/// Requests leave a full queue just before a response would start late. With the mean time to first
-/// event alone, a third of all responses placed in a burst miss their target by less than 0.1 s.
+/// Requests are placed from a full queue just before their response would start late. With the mean
+/// time to first event alone, a third of all responses placed in a burst miss their target by less
+/// than 0.1 s.
 #[test]
 fn nine_of_ten_streams_begin_within_p90() {
     let cases = [
--- a/crates/gateway/tests/load_share.rs
+++ b/crates/gateway/tests/load_share.rs
@@ -54,8 +54,8 @@
     }
 }
 
-/// Prevents streams from being preempted on a full engine. A burst keeps an engine of 62,000 tokens full
-/// with streams of 5,000 and responses of 3,500, each placed as soon as there is capacity. If
+/// Prevents streams from being preempted on a full engine. A burst keeps an engine of 62,000 tokens
+/// full with streams of 5,000 and responses of 3,500, each placed as soon as there is capacity. If
 /// capacity is computed from what streams hold at that moment, one more is placed than there is
 /// memory for when all have progressed: one in nine is preempted, stalls for half a second and has
 /// its prompt prefilled again.
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -262,9 +262,9 @@
     }
 }
 
-/// Prevents bursts of requests from going to a decode server that has crashed. Its streams break, so it
-/// has no load and looks like the emptiest server; each time its ejection ends, a burst of prompts
-/// would be prefilled for it in vain. Only one request at a time may probe it.
+/// Prevents bursts of requests from going to a decode server that has crashed. Its streams break,
+/// so it has no load and looks like the emptiest server; each time its ejection ends, a burst of
+/// prompts would be prefilled for it in vain. Only one request at a time may probe it.
 #[test]
 fn a_failed_server_gets_one_probe_at_a_time() {
     let start = Instant::now();
@@ -296,8 +296,8 @@
     assert_eq!(&*placed.server, "b");
 }
 
-/// Prevents gateways from all choosing the same servers. Eighty gateways each place a stream
-/// within one report interval, before any of them receives reports of these placements. With the same
+/// Prevents gateways from all choosing the same servers. Eighty gateways each place a stream within
+/// one report interval, before any of them receives reports of these placements. With the same
 /// ranking at all of them, every prompt queues at one prefill server and one decode server runs out
 /// of memory while the others are idle, and first tokens are late.
 #[test]
--- a/crates/gateway/tests/stage_monitor.rs
+++ b/crates/gateway/tests/stage_monitor.rs
@@ -34,8 +34,8 @@
 }
 
 /// Prevents requests from queueing for decode capacity, in bursts of twice the usual load, while
-/// most prefill servers are idle. Engines change when there are clearly more prefill servers than the
-/// target, or requests have been queued for a while, and never so many that prefill becomes the
+/// most prefill servers are idle. Engines change when there are clearly more prefill servers than
+/// the target, or requests have been queued for a while, and never so many that prefill becomes the
 /// bottleneck or the loss of a failure domain leaves none.
 #[test]
 fn stage_changes_follow_the_load() {
