--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -55,7 +55,7 @@
         self.server_state.local_load.plus(self.peers.load)
     }
 
-    /// Returns true if this gateway has ejected the server, or when so many peers have that their
+    /// Returns true if this gateway has ejected the server, or if so many peers have that their
     /// network paths are hardly the cause.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.server_state.health.is_ejected(now) || self.peers.ejections >= MIN_EJECTING_PEERS
--- a/crates/gateway/src/cluster/crash_detector.rs
+++ b/crates/gateway/src/cluster/crash_detector.rs
@@ -315,7 +315,7 @@
         self.exclude_explained_crashes(now);
         self.release_long_running(now);
         self.records.mark_shared();
-        // The fingerprint may have been released just now, as one of the long-running.
+        // The fingerprint may just have been released as a long-running one.
         self.records.get(fingerprint)?.quarantine?;
         // Every gateway that saw one of the crashes itself writes the row; the store accepts the
         // first write.
--- a/crates/gateway/src/cluster/crash_rows.rs
+++ b/crates/gateway/src/cluster/crash_rows.rs
@@ -83,7 +83,7 @@
     }
 
     /// Queues the removal of a row, and reports to peers that it is void: a gateway that starts
-    /// meanwhile reads it, and the store may be unavailable.
+    /// meanwhile may read it, and the store may be unavailable.
     pub(super) fn queue_removal(
         &mut self,
         fingerprint: RequestFingerprint,
--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -284,7 +284,7 @@
         self.received_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Returns the number of peers that have reported within [`PEER_RETENTION`].
+    /// Returns the number of peers that have reported within `PEER_RETENTION`.
     pub fn live_peers(&self, now: Instant) -> usize {
         self.reports
             .values()
--- a/crates/gateway/src/cluster/placement.rs
+++ b/crates/gateway/src/cluster/placement.rs
@@ -145,7 +145,7 @@
 }
 
 /// Returns a decode server for a stream that must continue on another server. A server without
-/// capacity is accepted too, since the caller has already received a part of the response.
+/// capacity is accepted too, since the caller is already waiting in the middle of a response.
 pub fn place_decode(
     fleet: &Fleet,
     spec: &EngineSpec,
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -15,10 +15,10 @@
 /// Weight of one stream in the mean, once there are enough.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Target utilisation of prefill servers while decode servers are full. Decode servers prefill the
-/// prompts that prefill servers do not handle in time. Without that, prompts queue for seconds at
-/// 0.8, and 0.5 is the highest value that holds (callers get 0.634 and 0.642 of the value of what
-/// they request). With it, callers get 0.663 at 0.8 and 0.655 at 0.5. Over twenty runs each with
-/// bursts and faults.
+/// prompts that prefill servers do not handle in time. If they did not, prompts would queue for
+/// seconds at 0.8, and 0.5 would be the highest usable value: callers get 0.634 of the value of
+/// what they request at 0.8 and 0.642 at 0.5. As they do, callers get 0.663 at 0.8 and 0.655 at
+/// 0.5. All figures are over twenty runs each with bursts and faults.
 const TARGET_PREFILL_UTILISATION: f64 = 0.8;
 
 /// Engine time that a mean stream takes in each stage.
