--- a/crates/gateway/src/cluster/candidate.rs
+++ b/crates/gateway/src/cluster/candidate.rs
@@ -55,7 +55,7 @@
         self.server_state.local_load.plus(self.peers.load)
     }
 
-    /// Returns true when this gateway has ejected the server, or when so many peers have that their
+    /// Returns true if this gateway has ejected the server, or if so many peers have that their
     /// network paths are hardly the cause.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.server_state.health.is_ejected(now) || self.peers.ejections >= MIN_EJECTING_PEERS
@@ -126,7 +126,8 @@
 ) -> Candidates<'a> {
     let suitable =
         || available.iter().filter(|candidate| suits(candidate.server_state.entry.stage));
-    let healthy: Candidates<'a> = suitable().filter(|one| !one.is_ejected(now)).copied().collect();
+    let healthy: Candidates<'a> =
+        suitable().filter(|candidate| !candidate.is_ejected(now)).copied().collect();
     if healthy.is_empty() { suitable().copied().collect() } else { healthy }
 }
 
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -68,7 +68,7 @@
 
     /// Requests an immediate read of the configuration, unless one was requested very recently.
     pub fn request_config_read(&self) {
-        if self.with_config_watch(|watch| watch.may_request_read(Instant::now())) {
+        if self.with_config_watch(|watch| watch.try_request_read(Instant::now())) {
             self.config_due.notify(usize::MAX);
         }
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -23,7 +23,7 @@
 use crate::cluster::RetryCount;
 use crate::cluster::RetryPriority;
 use crate::cluster::ServerOutcome;
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::events;
 use crate::in_flight_count::InFlightCount;
 use crate::model::ConfigVersion;
@@ -99,7 +99,7 @@
             settings.retry_window,
             started_at,
         );
-        let digest = server_digest(&settings.instance);
+        let digest = name_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
             readings: SharedTables::new(digest, &settings),
@@ -150,7 +150,7 @@
     /// Consumes one retry to `service`. Returns true if the retry budget permits it.
     pub fn consume_retry(&self, service: &ServiceName, priority: RetryPriority) -> bool {
         let now = Instant::now();
-        let peer_retries = self.fleet().peers.retries(server_digest(service), now);
+        let peer_retries = self.fleet().peers.retries(name_digest(service), now);
         let members = self.members();
         let mut retries = self.retries.lock().expect("retries lock");
         retries.consume(service, members, peer_retries, priority, now)
@@ -208,7 +208,7 @@
 
     /// Returns the admission queues for `service` at all peers.
     pub fn peer_queues(&self, service: &ServiceName) -> PeerQueues {
-        self.fleet().peers.queues(server_digest(service), Instant::now())
+        self.fleet().peers.queues(name_digest(service), Instant::now())
     }
 
     /// Returns the estimates from this gateway's streams, for each service with engines, for a
@@ -217,7 +217,7 @@
         let Some(table) = self.route_table() else { return Vec::new() };
         let services = table.services.iter().filter(|(_, spec)| spec.engine.is_some());
         services
-            .map(|(service, _)| (server_digest(service), self.service_queues.estimates(service)))
+            .map(|(service, _)| (name_digest(service), self.service_queues.estimates(service)))
             .collect()
     }
 
@@ -225,7 +225,7 @@
     pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
         let local = self.service_queues.estimates(service);
         let fleet = self.fleet();
-        let peers = fleet.peers.estimates(server_digest(service));
+        let peers = fleet.peers.estimates(name_digest(service));
         EngineEstimates::pooled(peers.chain([local]))
     }
 
--- a/crates/gateway/src/store/shared_tables.rs
+++ b/crates/gateway/src/store/shared_tables.rs
@@ -9,7 +9,7 @@
 use super::SharedTable;
 use super::TableReadNotice;
 use crate::cluster::ReaderNotice;
-use crate::cluster::server_digest;
+use crate::cluster::name_digest;
 use crate::model::GatewaySettings;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
@@ -61,7 +61,7 @@
         let Some(shared_table) = self.find(notice.table) else { return };
         let is_heavy = notice.is_heavy;
         let notice = ReaderNotice { fingerprint: notice.fingerprint, read_at, is_heavy };
-        shared_table.readers().apply_peer_notice(server_digest(peer), notice);
+        shared_table.readers().apply_peer_notice(name_digest(peer), notice);
     }
 
     /// Queues changed rows that another gateway has read.
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,4 +1,4 @@
-//! Splits a byte stream that arrives in arbitrary pieces into whole events.
+//! Splitting a byte stream into complete events, wherever the pieces of the stream end.
 
 use proptest::prelude::*;
 use umberglade_gateway::forward::EventSplitter;
@@ -59,7 +59,8 @@
 }
 
 proptest! {
-    /// The same events result however the bytes are split in transit; none is lost or joined.
+    /// The same events are found wherever the bytes are cut on the way; none is lost or joined
+    /// with another.
     #[test]
     fn pieces_make_no_difference(
         texts in prop::collection::vec("[a-z ]{0,20}", 0..8),
