--- a/crates/router/src/control/follower.rs
+++ b/crates/router/src/control/follower.rs
@@ -39,17 +39,17 @@
         self.follow_instances(&mut instances, Duration::ZERO).await;
         let follower = self.clone();
         pool::spawn(async move {
-            let mut failures = FeedBackoff::default();
+            let mut backoff = FeedBackoff::default();
             loop {
-                let read = follower.follow_table(&mut table, follower.feed_wait).await;
-                failures.wait_after(read).await;
+                let succeeded = follower.follow_table(&mut table, follower.feed_wait).await;
+                backoff.wait_after(succeeded).await;
             }
         });
         pool::spawn(async move {
-            let mut failures = FeedBackoff::default();
+            let mut backoff = FeedBackoff::default();
             loop {
-                let read = self.follow_instances(&mut instances, self.feed_wait).await;
-                failures.wait_after(read).await;
+                let succeeded = self.follow_instances(&mut instances, self.feed_wait).await;
+                backoff.wait_after(succeeded).await;
             }
         });
     }
@@ -64,7 +64,7 @@
             for row in &page.rows {
                 snapshot.apply_row(row);
             }
-            snapshot.table_read = Some(Instant::now());
+            snapshot.table_read_at = Some(Instant::now());
         });
         true
     }
@@ -77,7 +77,7 @@
         };
         self.state.update(|snapshot| {
             snapshot.apply_instances(list);
-            snapshot.instances_read = Some(Instant::now());
+            snapshot.instances_read_at = Some(Instant::now());
         });
         true
     }
@@ -103,8 +103,8 @@
             self.failures = 0;
             return;
         }
-        let pause = (MIN_RETRY_DELAY * 2u32.saturating_pow(self.failures)).min(MAX_RETRY_DELAY);
+        let delay = (MIN_RETRY_DELAY * 2u32.saturating_pow(self.failures)).min(MAX_RETRY_DELAY);
         self.failures = (self.failures + 1).min(8);
-        smol::Timer::after(pause.mul_f64(0.5 + fastrand::f64())).await;
+        smol::Timer::after(delay.mul_f64(0.5 + fastrand::f64())).await;
     }
 }
--- a/crates/router/src/control/server_slot.rs
+++ b/crates/router/src/control/server_slot.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns the number of prompt tokens this daemon has waiting on the server.
-    pub fn queued_tokens(&self) -> u64 {
+    pub fn local_queued_tokens(&self) -> u64 {
         self.counters.local_queued_tokens()
     }
 
--- a/crates/router/src/control/snapshot.rs
+++ b/crates/router/src/control/snapshot.rs
@@ -54,8 +54,8 @@
     /// Those of them that are available for new work.
     pub pools: Arc<ServerPools>,
     /// When the platform last answered the table feed and the instance feed.
-    pub table_read: Option<Instant>,
-    pub instances_read: Option<Instant>,
+    pub table_read_at: Option<Instant>,
+    pub instances_read_at: Option<Instant>,
 }
 
 impl ControlSnapshot {
@@ -67,7 +67,7 @@
 
     /// Returns when the platform last answered both feeds, or `None` before it has.
     pub fn last_sync(&self) -> Option<Instant> {
-        Some(self.table_read?.min(self.instances_read?))
+        Some(self.table_read_at?.min(self.instances_read_at?))
     }
 
     /// Applies one row of the control table. Rows with unknown keys are ignored.
@@ -100,7 +100,7 @@
         };
         let preset = match Preset::from_json(&active.body) {
             Ok(preset) => preset,
-            Err(error) => return reject(row, &error.to_string()),
+            Err(error) => return log_rejected_row(row, &error.to_string()),
         };
         tracing::info!(
             event = events::PRESET_APPLIED,
@@ -119,11 +119,11 @@
         if row.version <= self.organisations_version {
             return;
         }
-        let Some(book) = parse_row::<OrganisationRegistry>(row) else {
+        let Some(registry) = parse_row::<OrganisationRegistry>(row) else {
             return;
         };
         let mut api_keys = HashMap::new();
-        for (organisation, entry) in book.organisations {
+        for (organisation, entry) in registry.organisations {
             for key in entry.api_keys {
                 api_keys.insert(key, organisation.clone());
             }
@@ -136,24 +136,24 @@
         if row.version <= self.drains_version {
             return;
         }
-        let Some(book) = parse_row::<DrainRegistry>(row) else {
+        let Some(registry) = parse_row::<DrainRegistry>(row) else {
             return;
         };
-        let drained: BTreeSet<ServerId> = book.servers.into_keys().collect();
+        let drained: BTreeSet<ServerId> = registry.servers.into_keys().collect();
         tracing::info!(event = events::SERVERS_CHANGED, ?drained, "drained servers changed");
         self.drained = Arc::new(drained);
         self.drains_version = row.version;
-        self.regroup();
+        self.rebuild_pools();
     }
 
     fn apply_role_orders(&mut self, row: &Row) {
         if row.version <= self.role_orders_version {
             return;
         }
-        let Some(book) = parse_row::<RoleOrderRegistry>(row) else {
+        let Some(registry) = parse_row::<RoleOrderRegistry>(row) else {
             return;
         };
-        self.role_orders = Arc::new(book);
+        self.role_orders = Arc::new(registry);
         self.role_orders_version = row.version;
     }
 
@@ -195,10 +195,10 @@
         }
         servers.sort_by(|left, right| left.entry.server.cmp(&right.entry.server));
         self.servers = Arc::new(servers);
-        self.regroup();
+        self.rebuild_pools();
     }
 
-    fn regroup(&mut self) {
+    fn rebuild_pools(&mut self) {
         self.pools = Arc::new(ServerPools::new(&self.servers, &self.drained));
     }
 }
@@ -208,12 +208,12 @@
     match serde_json::from_value(row.value.clone()) {
         Ok(value) => Some(value),
         Err(error) => {
-            reject(row, &error.to_string());
+            log_rejected_row(row, &error.to_string());
             None
         }
     }
 }
 
-fn reject(row: &Row, message: &str) {
+fn log_rejected_row(row: &Row, message: &str) {
     tracing::error!(event = events::PRESET_REJECTED, key = %row.key, version = row.version, message, "control row rejected");
 }
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -132,8 +132,8 @@
 
     /// Returns true while an engine's rejection shows that this daemon's preset is outdated.
     pub fn has_stale_fence(&self) -> bool {
-        let at = self.shared.rejected_fence.load(Ordering::Acquire);
-        at > 0 && self.shared.control.current().fence <= at
+        let rejected = self.shared.rejected_fence.load(Ordering::Acquire);
+        rejected > 0 && self.shared.control.current().fence <= rejected
     }
 
     /// Returns true once a graceful stop has begun.
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -150,7 +150,7 @@
         // its condition fail.
         let version = match row {
             None => 0,
-            Some(row) if holds(&row.value, started) => row.version,
+            Some(row) if is_record(&row.value, started) => row.version,
             Some(_) => return Ok(()),
         };
         let not_run = IdempotencyRecord::NotRun { status: 503, body: "not sent".into() };
@@ -162,6 +162,6 @@
 }
 
 /// Returns true if `value` is the record `expected`.
-fn holds(value: &serde_json::Value, expected: &IdempotencyRecord) -> bool {
+fn is_record(value: &serde_json::Value, expected: &IdempotencyRecord) -> bool {
     IdempotencyRecord::deserialize(value).is_ok_and(|record| record == *expected)
 }
--- a/crates/router/src/leader/controller.rs
+++ b/crates/router/src/leader/controller.rs
@@ -56,13 +56,13 @@
     async fn order_roles(&self) {
         let snapshot = self.control.current();
         for slot in snapshot.servers.iter() {
-            let Some(wanted) = snapshot.role_orders.servers.get(&slot.entry.server) else {
+            let Some(requested) = snapshot.role_orders.servers.get(&slot.entry.server) else {
                 continue;
             };
-            if slot.entry.role == wanted.role || slot.entry.state != InstanceState::Live {
+            if slot.entry.role == requested.role || slot.entry.state != InstanceState::Live {
                 continue;
             }
-            if let Err(error) = self.order_role(slot, wanted.role).await {
+            if let Err(error) = self.order_role(slot, requested.role).await {
                 tracing::warn!(event = events::SERVER_STEP_FAILED, server = %slot.entry.server, %error, "role order failed");
             }
         }
--- a/crates/router/src/leader/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -29,7 +29,7 @@
     platform: PlatformClient,
     daemon: DaemonId,
     incarnation: u64,
-    lease: Duration,
+    lease_duration: Duration,
     held: Option<HeldLease>,
 }
 
@@ -39,9 +39,9 @@
         platform: PlatformClient,
         daemon: DaemonId,
         incarnation: u64,
-        lease: Duration,
+        lease_duration: Duration,
     ) -> Self {
-        LeaderLease { platform, daemon, incarnation, lease, held: None }
+        LeaderLease { platform, daemon, incarnation, lease_duration, held: None }
     }
 
     /// Returns the fencing token for orders while this daemon may send them.
@@ -52,7 +52,7 @@
     /// take over.
     pub fn fence(&self) -> Option<Fence> {
         let held = self.held?;
-        (held.started_at.elapsed() < self.lease * 2 / 3).then_some(held.fence)
+        (held.started_at.elapsed() < self.lease_duration * 2 / 3).then_some(held.fence)
     }
 
     /// Returns true if this daemon held the lease at its last check.
@@ -71,7 +71,7 @@
         let age = Duration::from_millis(list.now_ms.saturating_sub(row.written_ms));
         let is_ours = serde_json::from_value::<LeaderRecord>(row.value)
             .is_ok_and(|record| record == self.record());
-        if is_ours || age >= self.lease {
+        if is_ours || age >= self.lease_duration {
             return self.write(row.version, started_at).await;
         }
         self.mark_lost();
--- a/crates/router/src/membership/heartbeat.rs
+++ b/crates/router/src/membership/heartbeat.rs
@@ -120,13 +120,13 @@
     /// 1 / live daemons, so that all of them together make about one removal per round.
     async fn remove_expired_member(&self, list: &RowList) {
         let members = &self.daemon.shared.members;
-        let readers = members.live_count().max(1);
-        let removal_age = members.lease() * REMOVAL_AGE_LEASES;
+        let live_daemons = members.live_count().max(1);
+        let removal_age = members.lease_duration() * REMOVAL_AGE_LEASES;
         let expired = list.rows.iter().find(|row| !is_live(row, list.now_ms, removal_age));
         let Some(row) = expired else {
             return;
         };
-        if fastrand::usize(0..readers) != 0 {
+        if fastrand::usize(0..live_daemons) != 0 {
             return;
         }
         if let Err(error) = self.platform.remove(MEMBERS_TABLE, &row.key, row.version).await {
--- a/crates/router/src/membership/view.rs
+++ b/crates/router/src/membership/view.rs
@@ -22,19 +22,19 @@
 /// The members as last read. The lock is held only to copy a few words.
 #[derive(Debug)]
 pub struct MemberView {
-    lease: Duration,
+    lease_duration: Duration,
     state: Mutex<ViewState>,
 }
 
 impl MemberView {
     /// Creates an empty view of leases with the duration `lease`.
-    pub fn new(lease: Duration) -> Self {
-        MemberView { lease, state: Mutex::new(ViewState::default()) }
+    pub fn new(lease_duration: Duration) -> Self {
+        MemberView { lease_duration, state: Mutex::new(ViewState::default()) }
     }
 
     /// Returns the duration of a lease.
-    pub fn lease(&self) -> Duration {
-        self.lease
+    pub fn lease_duration(&self) -> Duration {
+        self.lease_duration
     }
 
     /// Returns the number of daemons whose lease was live at the last read.
@@ -49,7 +49,7 @@
     /// write was sent, so the local lease never outlasts the stored one.
     pub fn is_local_lease_live(&self) -> bool {
         let renewed_at = self.state.lock().expect("view lock").renewed_at;
-        renewed_at.is_some_and(|at| at.elapsed() < self.lease)
+        renewed_at.is_some_and(|at| at.elapsed() < self.lease_duration)
     }
 
     /// Records that the call started at `started_at` renewed this daemon's row.
@@ -62,7 +62,7 @@
         let live: Vec<MemberRecord> = list
             .rows
             .iter()
-            .filter(|row| is_live(row, list.now_ms, self.lease))
+            .filter(|row| is_live(row, list.now_ms, self.lease_duration))
             .filter_map(|row| serde_json::from_value(row.value.clone()).ok())
             .collect();
         let mut state = self.state.lock().expect("view lock");
@@ -85,6 +85,6 @@
 
 /// Returns true if `row` was renewed less than `lease` before `now_ms`, by the table service's
 /// clock.
-pub fn is_live(row: &Row, now_ms: u64, lease: Duration) -> bool {
-    now_ms.saturating_sub(row.written_ms) < lease.as_millis() as u64
+pub fn is_live(row: &Row, now_ms: u64, max_age: Duration) -> bool {
+    now_ms.saturating_sub(row.written_ms) < max_age.as_millis() as u64
 }
--- a/crates/router/src/operator/mod.rs
+++ b/crates/router/src/operator/mod.rs
@@ -148,8 +148,8 @@
         api_keys: Vec<String>,
     ) -> Result<Row, OperatorError> {
         let entry = OrganisationEntry { api_keys };
-        self.update_control_row::<OrganisationRegistry>(ORGANISATIONS_KEY, |book| {
-            book.organisations.insert(name.to_owned(), entry.clone());
+        self.update_control_row::<OrganisationRegistry>(ORGANISATIONS_KEY, |registry| {
+            registry.organisations.insert(name.to_owned(), entry.clone());
         })
         .await
     }
@@ -157,16 +157,16 @@
     /// Drains backend server `server`: daemons send it no new requests.
     pub async fn drain(&self, server: &str) -> Result<Row, OperatorError> {
         let order = DrainOrder { server: server.to_owned(), by: self.actor.clone() };
-        self.update_control_row::<DrainRegistry>(DRAINS_KEY, |book| {
-            book.servers.insert(server.to_owned(), order.clone());
+        self.update_control_row::<DrainRegistry>(DRAINS_KEY, |registry| {
+            registry.servers.insert(server.to_owned(), order.clone());
         })
         .await
     }
 
     /// Returns a drained server to service.
     pub async fn undrain(&self, server: &str) -> Result<Row, OperatorError> {
-        self.update_control_row::<DrainRegistry>(DRAINS_KEY, |book| {
-            book.servers.remove(server);
+        self.update_control_row::<DrainRegistry>(DRAINS_KEY, |registry| {
+            registry.servers.remove(server);
         })
         .await
     }
@@ -178,8 +178,8 @@
         role: EngineRole,
     ) -> Result<Row, OperatorError> {
         let order = RoleOrder { role, by: self.actor.clone() };
-        self.update_control_row::<RoleOrderRegistry>(ROLE_ORDERS_KEY, |book| {
-            book.servers.insert(server.to_owned(), order.clone());
+        self.update_control_row::<RoleOrderRegistry>(ROLE_ORDERS_KEY, |registry| {
+            registry.servers.insert(server.to_owned(), order.clone());
         })
         .await
     }
@@ -220,21 +220,21 @@
                 self.platform.get(CONTROL_TABLE, key).await.map_err(|source| {
                     OperatorError::Platform { step: "read control row", source }
                 })?;
-            let (version, mut book) = match row {
+            let (version, mut registry) = match row {
                 Some(row) => {
-                    let book = serde_json::from_value(row.value).map_err(|error| {
+                    let registry = serde_json::from_value(row.value).map_err(|error| {
                         OperatorError::Malformed {
                             what: format!("control/{key}"),
                             message: error.to_string(),
                         }
                     })?;
-                    (row.version, book)
+                    (row.version, registry)
                 }
                 None => (0, T::default()),
             };
-            change(&mut book);
+            change(&mut registry);
             let outcome =
-                self.platform.put_checked(CONTROL_TABLE, key, version, &book).await.map_err(
+                self.platform.put_checked(CONTROL_TABLE, key, version, &registry).await.map_err(
                     |source| OperatorError::Platform { step: "write control row", source },
                 )?;
             match outcome {
--- a/crates/router/src/pipeline/run.rs
+++ b/crates/router/src/pipeline/run.rs
@@ -30,7 +30,7 @@
     pub cancel: CancelOnDrop,
     pub attempt: u32,
     deadline: Instant,
-    started: Instant,
+    started_at: Instant,
     /// Servers that failed or rejected this request.
     pub(super) avoid: SmallVec<[ServerId; 4]>,
     _admission: AdmissionGuard<P>,
@@ -40,14 +40,14 @@
     /// Creates a run of `admitted` without sending anything.
     pub fn new(daemon: Daemon<P>, admitted: AdmittedRequest, admission: AdmissionGuard<P>) -> Self {
         daemon.shared.budget.deposit();
-        let started = Instant::now();
+        let started_at = Instant::now();
         RequestRun {
             cancel: CancelOnDrop::new(admitted.request_id.clone()),
-            deadline: started + Duration::from_millis(admitted.preset.deadline_ms),
+            deadline: started_at + Duration::from_millis(admitted.preset.deadline_ms),
             daemon,
             admitted,
             attempt: 0,
-            started,
+            started_at,
             avoid: SmallVec::new(),
             _admission: admission,
         }
@@ -102,7 +102,7 @@
 
     /// Returns the time since the request was admitted.
     pub fn age(&self) -> Duration {
-        self.started.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Excludes the server from this request and ejects it for all requests for a while.
--- a/crates/router/src/placement/affinity.rs
+++ b/crates/router/src/placement/affinity.rs
@@ -139,7 +139,8 @@
 ) -> bool {
     let limit = u64::from(request.preset.prefill_queue_tokens);
     let queue_has_capacity = request.priority == Priority::Urgent
-        || (load.queued_tokens < limit && slot.queued_tokens() <= request.max_local_queue_tokens);
+        || (load.queued_tokens < limit
+            && slot.local_queued_tokens() <= request.max_local_queue_tokens);
     queue_has_capacity && free_slots(load, request) > 0
 }
 
--- a/crates/router/src/platform/client.rs
+++ b/crates/router/src/platform/client.rs
@@ -119,7 +119,7 @@
     ) -> Result<WriteOutcome, WireError> {
         let error = match self.put(table, key, expect_version, value).await {
             Ok(outcome) => return Ok(outcome),
-            Err(error) if error.is_unanswered() => error,
+            Err(error) if error.is_outcome_unknown() => error,
             Err(error) => return Err(error),
         };
         tracing::warn!(%error, table, key, "no reply to a write; reading the row back");
--- a/crates/router/src/preset.rs
+++ b/crates/router/src/preset.rs
@@ -11,7 +11,7 @@
 /// Upper limits that prevent presets with values no engine can meet.
 const MAX_TOKENS_CEILING: u32 = 32_768;
 const MAX_IN_FLIGHT_CEILING: u32 = 100_000;
-const KEEP_MS_CEILING: u64 = 60_000;
+const DURATION_MS_CEILING: u64 = 60_000;
 
 /// Latency targets of one service class.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -124,19 +124,19 @@
             1,
             u64::from(MAX_IN_FLIGHT_CEILING),
         )?;
-        in_range("prefill_keep_ms", self.prefill_keep_ms, 50, KEEP_MS_CEILING)?;
+        in_range("prefill_keep_ms", self.prefill_keep_ms, 50, DURATION_MS_CEILING)?;
         in_range("urgent_reserve_slots", u64::from(self.urgent_reserve_slots), 0, 1000)?;
         in_range("prefill_queue_tokens", u64::from(self.prefill_queue_tokens), 1, 100_000_000)?;
-        in_range("prefix_keep_ms", self.prefix_keep_ms, 0, KEEP_MS_CEILING)?;
-        in_range("deadline_ms", self.deadline_ms, 100, 60 * KEEP_MS_CEILING)?;
+        in_range("prefix_keep_ms", self.prefix_keep_ms, 0, DURATION_MS_CEILING)?;
+        in_range("deadline_ms", self.deadline_ms, 100, 60 * DURATION_MS_CEILING)?;
         if !(0.0..=100.0).contains(&self.recompute_weight) {
             let problem = format!("is {}, must be from 0 to 100", self.recompute_weight);
             return Err(PresetError::Field { field: "recompute_weight", problem });
         }
-        in_range("urgent.ttft_ms", self.urgent.ttft_ms, 1, KEEP_MS_CEILING)?;
-        in_range("urgent.tpot_ms", self.urgent.tpot_ms, 1, KEEP_MS_CEILING)?;
-        in_range("standard.ttft_ms", self.standard.ttft_ms, 1, 10 * KEEP_MS_CEILING)?;
-        in_range("standard.tpot_ms", self.standard.tpot_ms, 1, KEEP_MS_CEILING)?;
+        in_range("urgent.ttft_ms", self.urgent.ttft_ms, 1, DURATION_MS_CEILING)?;
+        in_range("urgent.tpot_ms", self.urgent.tpot_ms, 1, DURATION_MS_CEILING)?;
+        in_range("standard.ttft_ms", self.standard.ttft_ms, 1, 10 * DURATION_MS_CEILING)?;
+        in_range("standard.tpot_ms", self.standard.tpot_ms, 1, DURATION_MS_CEILING)?;
         Ok(())
     }
 
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -41,8 +41,8 @@
 ) -> Result<StartedDaemon<P>, io::Error> {
     let (listener, local) = server::bind(settings.listen).await?;
     let control = Arc::new(ControlState::default());
-    let lease = settings.heartbeat_interval * LEASE_HEARTBEATS;
-    let members = Arc::new(MemberView::new(lease));
+    let lease_duration = settings.heartbeat_interval * LEASE_HEARTBEATS;
+    let members = Arc::new(MemberView::new(lease_duration));
     let daemon = Daemon::new(settings.clone(), Arc::clone(&control), members, placement, metrics);
     let follower = ControlFollower {
         platform: settings.platform.clone(),
@@ -55,7 +55,12 @@
     pool::spawn(heartbeat.run());
     let controller = LeaderController {
         cleaner: RecordCleaner::new(platform.clone(), settings.record_retention),
-        lease: LeaderLease::new(platform, settings.daemon_id.clone(), settings.incarnation, lease),
+        lease: LeaderLease::new(
+            platform,
+            settings.daemon_id.clone(),
+            settings.incarnation,
+            lease_duration,
+        ),
         control,
         daemon: settings.daemon_id.clone(),
         interval: settings.heartbeat_interval,
--- a/crates/router/tests/admission_queue.rs
+++ b/crates/router/tests/admission_queue.rs
@@ -40,7 +40,7 @@
             smol::Timer::after(Duration::from_millis(50)).await;
         }
         let slots = Arc::new(FreeSlots(AtomicU32::new(0)));
-        let entered: Vec<_> =
+        let tasks: Vec<_> =
             (0..5)
                 .map(|_| {
                     let (queue, slots) = (Arc::clone(&queue), Arc::clone(&slots));
@@ -52,7 +52,7 @@
         smol::Timer::after(Duration::from_millis(30)).await;
         slots.0.store(5, Ordering::Release);
         queue.notify_capacity();
-        for task in entered {
+        for task in tasks {
             assert!(task.await.is_ok());
         }
     });
@@ -71,9 +71,9 @@
         for priority in classes {
             let (queue, slots, order) = (queue.clone(), slots.clone(), order.clone());
             tasks.push(spawn(async move {
-                let entered = queue.acquire(priority, MAX_WAIT * 5, |_| slots.take()).await;
+                let result = queue.acquire(priority, MAX_WAIT * 5, |_| slots.take()).await;
                 order.lock().unwrap().push(priority);
-                entered
+                result
             }));
         }
         smol::Timer::after(Duration::from_millis(50)).await;
@@ -90,7 +90,7 @@
 fn standard_requests_are_not_starved() {
     smol::block_on(async {
         let queue = Arc::new(AdmissionQueue::default());
-        let long = {
+        let standard = {
             let queue = Arc::clone(&queue);
             spawn(async move {
                 let try_place = |mode| (mode == PlacementMode::UseReserve).then_some(());
@@ -99,12 +99,12 @@
         };
         smol::Timer::after(Duration::from_millis(20)).await;
         let started_at = Instant::now();
-        while !long.is_finished() && started_at.elapsed() < Duration::from_secs(8) {
+        while !standard.is_finished() && started_at.elapsed() < Duration::from_secs(8) {
             queue.acquire(Priority::Urgent, MAX_WAIT, |_| Some(())).await.unwrap();
             smol::Timer::after(Duration::from_millis(5)).await;
         }
-        assert!(long.is_finished(), "standard request still not placed after 8 s");
-        assert!(long.await.is_ok());
+        assert!(standard.is_finished(), "standard request still not placed after 8 s");
+        assert!(standard.await.is_ok());
     });
 }
 
--- a/crates/router/tests/placement.rs
+++ b/crates/router/tests/placement.rs
@@ -102,14 +102,14 @@
 
 #[test]
 fn decode_prefers_free_servers_nearby() {
-    let far = Candidate { domain: "hall-b", ..IDLE };
+    let other_domain = Candidate { domain: "hall-b", ..IDLE };
     let other_region = Candidate { region: "south", ..IDLE };
     let running = |running| Candidate { running, ..IDLE };
     check(
         vec![
             case("fewer requests", vec![running(15), running(5)], Some(1)),
-            case("equal load: nearer server", vec![far, IDLE], Some(1)),
-            case("near server full: far server", vec![running(18), far], Some(1)),
+            case("equal load: server in the same domain", vec![other_domain, IDLE], Some(1)),
+            case("same-domain server full: other domain", vec![running(18), other_domain], Some(1)),
             case("same region despite more load", vec![other_region, running(17)], Some(1)),
             case("other region as last resort", vec![other_region, running(20)], Some(0)),
             case("none: only the reserve is left", vec![running(18), running(19)], None),
--- a/crates/router/tests/server_counts.rs
+++ b/crates/router/tests/server_counts.rs
@@ -35,7 +35,7 @@
     assert_eq!(snapshot.servers[0].in_flight(), 1);
     drop(guard);
     assert_eq!(snapshot.servers[0].in_flight(), 0);
-    assert_eq!(snapshot.servers[0].queued_tokens(), 0);
+    assert_eq!(snapshot.servers[0].local_queued_tokens(), 0);
 }
 
 /// A change of the instance list and the servers available afterwards.
--- a/crates/standin/src/engine/decode.rs
+++ b/crates/standin/src/engine/decode.rs
@@ -31,7 +31,7 @@
 
 /// Returns the text of token `index` of the response for `seed`, as tests expect callers to receive
 /// it.
-pub fn answer_token(seed: u64, index: u32) -> String {
+pub fn response_token(seed: u64, index: u32) -> String {
     let word =
         umberglade_wire::digest(&[seed.to_le_bytes(), u64::from(index).to_le_bytes()].concat());
     format!("w{:04x} ", word & 0xffff)
@@ -132,7 +132,7 @@
     index: u32,
     faults: &EngineFaults,
 ) -> bool {
-    let text = answer_token(order.answer_seed, index);
+    let text = response_token(order.answer_seed, index);
     let event = DecodeEvent::Token { request_id: order.request_id.clone(), index, text };
     if faults.crossed_lines {
         let other = DecodeEvent::Token {
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -52,7 +52,7 @@
 
 pub use self::config::DEFAULT_SLOTS;
 pub use self::config::EngineConfig;
-pub use self::decode::answer_token;
+pub use self::decode::response_token;
 use self::state::ActiveRequest;
 use self::state::EngineState;
 
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 struct EngineShared {
     config: EngineConfig,
-    started: Instant,
+    started_at: Instant,
     /// The address on which it listens, once known.
     addr: OnceLock<SocketAddr>,
     /// Lock order: `state` before `load`.
@@ -106,7 +106,7 @@
         let shared = EngineShared {
             state: Mutex::new(EngineState::new(&config)),
             config,
-            started: Instant::now(),
+            started_at: Instant::now(),
             addr: OnceLock::new(),
             load: Mutex::new(None),
             prefill_queue_changed: Event::new(),
@@ -195,7 +195,7 @@
             (&Method::GET, ["v1", "stats"]) => {
                 let mut state = self.shared.state.lock().expect("engine state lock");
                 state.evict_expired_exports(Instant::now());
-                reply::json(StatusCode::OK, &state.snapshot())
+                reply::json(StatusCode::OK, &state.current_stats())
             }
             _ => reply::rejection(StatusCode::NOT_FOUND, "not_found", "no such route", None),
         };
@@ -308,7 +308,7 @@
             waiting: 0,
             slots: self.shared.config.slots,
             queued_tokens: state.queued_tokens,
-            taken_at_ms: now.duration_since(self.shared.started).as_millis() as u64,
+            taken_at_ms: now.duration_since(self.shared.started_at).as_millis() as u64,
         };
         *load = Some((now, report.clone()));
         report
--- a/crates/standin/src/engine/prefill.rs
+++ b/crates/standin/src/engine/prefill.rs
@@ -160,7 +160,7 @@
             request_id: order.request_id.clone(),
             computed_tokens,
             bytes: kv_bytes,
-            expires: now + Duration::from_millis(order.keep_ms),
+            expires_at: now + Duration::from_millis(order.keep_ms),
         };
         state.exports.insert(kv_handle, export);
         state.stats.prefills_done += 1;
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -33,7 +33,7 @@
     pub computed_tokens: u32,
     pub bytes: u64,
     /// When the export is evicted, and its prefill counts as wasted.
-    pub expires: Instant,
+    pub expires_at: Instant,
 }
 
 /// The position of a prompt in the prefill queue: urgent prompts first, then in order of arrival.
@@ -104,7 +104,7 @@
         let expired: Vec<KvHandle> = self
             .exports
             .iter()
-            .filter(|(_, export)| export.expires <= now)
+            .filter(|(_, export)| export.expires_at <= now)
             .map(|(handle, _)| *handle)
             .collect();
         for handle in expired {
@@ -115,7 +115,7 @@
     }
 
     /// Returns the current [`EngineStats`].
-    pub fn snapshot(&self) -> EngineStats {
+    pub fn current_stats(&self) -> EngineStats {
         let mut stats = self.stats.clone();
         stats.held_requests = self.active_requests.len() as u32;
         stats.held_exports = self.exports.len() as u32;
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -22,7 +22,7 @@
 /// stand-in serves a few hundred writes per second, at which there is no lock contention.
 #[derive(Debug)]
 pub struct RowTable {
-    started: Instant,
+    started_at: Instant,
     /// The number of writes and removal transactions in all tables; only grows while the service
     /// runs.
     generation: u64,
@@ -31,7 +31,7 @@
 
 impl Default for RowTable {
     fn default() -> Self {
-        RowTable { started: Instant::now(), generation: 0, rows: BTreeMap::new() }
+        RowTable { started_at: Instant::now(), generation: 0, rows: BTreeMap::new() }
     }
 }
 
@@ -99,7 +99,7 @@
 
     /// Returns the monotonic clock of the service: milliseconds since it started.
     fn now_ms(&self) -> u64 {
-        self.started.elapsed().as_millis() as u64
+        self.started_at.elapsed().as_millis() as u64
     }
 
     fn rows_from<'a>(
--- a/crates/standin/tests/contracts.rs
+++ b/crates/standin/tests/contracts.rs
@@ -116,7 +116,7 @@
             case("object put", PUT, "/v1/objects/o%2F1", "bytes", 200, "o/1"),
             case("object get", GET, "/v1/objects/o%2F1", "", 200, "bytes"),
             case("object list", GET, "/v1/objects?prefix=o%2F", "", 200, "o/1"),
-            case("object drop", DELETE, "/v1/objects/o%2F1", "", 200, ""),
+            case("object removed", DELETE, "/v1/objects/o%2F1", "", 200, ""),
             case("lost replies on", POST, "/v1/faults", r#"{"lose_reply_percent":100}"#, 200, ""),
             case("write, reply lost", PUT, "/v1/rows/t/lost", write, 0, ""),
             case("it took effect", GET, "/v1/rows/t/lost", "", 200, r#""value":1"#),
@@ -126,7 +126,7 @@
             case("over", POST, "/v1/faults", "{}", 200, ""),
             case("nothing was done", GET, "/v1/rows/t/no", "", 404, ""),
             case("silent", POST, "/v1/faults", r#"{"silent":true}"#, 200, ""),
-            case("no answer", GET, row, "", 0, ""),
+            case("no response", GET, row, "", 0, ""),
         ];
         check(&addr, cases).await;
     });
@@ -175,13 +175,13 @@
             case("nothing left", POST, "/v1/cancel", r#"{"request_id":"r1"}"#, 200, "false"),
             case("wasted by cancel", GET, "/v1/stats", "", 200, r#""wasted_tokens":40"#),
             case("order", POST, "/v1/order", ORDER, 202, r#""sequence":1"#),
-            case("refused while busy", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
+            case("rejected while busy", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
             case("same order again", POST, "/v1/order", ORDER, 409, "stale_sequence"),
             case("load", GET, "/v1/load", "", 200, r#""slots":20"#),
             case("events are late", GET, "/v1/cache-events?since=0", "", 200, r#""events":[]"#),
             case("unknown route", GET, "/v1/nope", "", 404, "no such route"),
             case("down", POST, "/v1/faults", r#"{"down":true}"#, 200, ""),
-            case("refuses when down", POST, "/v1/prefill", PREFILL, 503, ""),
+            case("rejects when down", POST, "/v1/prefill", PREFILL, 503, ""),
         ];
         check(&addr, cases).await;
     });
@@ -197,7 +197,7 @@
         check(&addr, vec![case("before", POST, "/v1/prefill", PREFILL, 200, "")]).await;
         engine.drain().await;
         let cases = vec![
-            case("refused", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
+            case("rejected", POST, "/v1/prefill", PREFILL, 503, "engine_full"),
             case("holds nothing", GET, "/v1/stats", "", 200, r#""held_requests":0"#),
         ];
         check(&addr, cases).await;
@@ -228,7 +228,7 @@
             case("counted", GET, "/v1/stats", "", 200, r#""most_runs_of_one_key":2"#),
             case("lookup", GET, "/v1/lookup/fri", "", 200, "fri: free"),
             case("malformed", POST, "/v1/call", "{}", 400, "organisation"),
-            case("refusing", POST, "/v1/faults", r#"{"refuse":true}"#, 200, ""),
+            case("rejecting", POST, "/v1/faults", r#"{"refuse":true}"#, 200, ""),
             case("not run", POST, "/v1/call", call, 503, "not run"),
             case("still two", GET, "/v1/stats", "", 200, r#""executions":2"#),
         ];
--- a/crates/umberglade/tests/end_to_end.rs
+++ b/crates/umberglade/tests/end_to_end.rs
@@ -6,7 +6,7 @@
 use std::thread;
 
 use umberglade_router::prompt::chat_shape;
-use umberglade_standin::engine::answer_token;
+use umberglade_standin::engine::response_token;
 use umberglade_wire::caller::ChatMessage;
 
 use support::ORGANISATIONS;
@@ -17,7 +17,7 @@
 /// Returns the text that a caller must receive for `messages` and `max_tokens`.
 fn expected_response(messages: &[ChatMessage], max_tokens: u32) -> String {
     let seed = chat_shape(messages).digest;
-    (0..max_tokens).map(|index| answer_token(seed, index)).collect()
+    (0..max_tokens).map(|index| response_token(seed, index)).collect()
 }
 
 fn chat_body(messages: &[ChatMessage], max_tokens: u32, stream: bool) -> String {
--- a/crates/umberglade/tests/responses.rs
+++ b/crates/umberglade/tests/responses.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use umberglade_router::prompt::chat_shape;
-use umberglade_standin::engine::answer_token;
+use umberglade_standin::engine::response_token;
 use umberglade_wire::caller::ChatMessage;
 use umberglade_wire::engine::EngineFaults;
 
@@ -30,7 +30,7 @@
 
 fn expected(caller: usize) -> String {
     let seed = chat_shape(&messages(caller)).digest;
-    (0..MAX_TOKENS).map(|index| answer_token(seed, index)).collect()
+    (0..MAX_TOKENS).map(|index| response_token(seed, index)).collect()
 }
 
 /// Sends a request as `caller` and returns the text received and whether it was complete.
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -49,7 +49,7 @@
 
     /// Returns true when no usable response arrived (for example a lost reply), so the action
     /// may or may not have taken effect.
-    pub fn is_unanswered(&self) -> bool {
+    pub fn is_outcome_unknown(&self) -> bool {
         matches!(
             self,
             WireError::Http { .. } | WireError::Timeout { .. } | WireError::Decode { .. }
