--- a/crates/router/src/admission/admission_queue.rs
+++ b/crates/router/src/admission/admission_queue.rs
@@ -26,7 +26,7 @@
 /// reserved for urgent ones.
 const MAX_BYPASSES: u32 = 32;
 
-/// A request left the queue without being placed.
+/// A request was not placed, because its predicted wait was too long or its maximum wait passed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueRejection {
     /// Seconds after which capacity is expected.
@@ -140,7 +140,7 @@
     ///
     /// Prevents a steady stream of lookups from starving long requests: after [`MAX_BYPASSES`]
     /// bypasses the head of the standard queue may use the capacity reserved for urgent requests,
-    /// so it gets at least one placement in so many.
+    /// so the standard queue gets at least one placement per [`MAX_BYPASSES`] urgent ones.
     fn placement_mode(
         &self,
         ticket: &QueueTicket<'_>,
--- a/crates/router/src/admission/class_queue.rs
+++ b/crates/router/src/admission/class_queue.rs
@@ -35,7 +35,8 @@
     pub nonempty_since: Option<Instant>,
     /// Times of the latest placements, oldest first.
     placements: VecDeque<Instant>,
-    /// Placements of the other class since the last one of this class.
+    /// Urgent placements since the last placement of this class; an urgent placement while its
+    /// queue is empty resets the count. Counted only for the standard class.
     pub bypass_count: u32,
 }
 
--- a/crates/router/src/admission/prefill_time_estimator.rs
+++ b/crates/router/src/admission/prefill_time_estimator.rs
@@ -26,7 +26,7 @@
 
 impl PrefillTimeEstimator {
     /// Records that `tokens` (those queued ahead plus the request's own) took `elapsed`, unless
-    /// there are fewer than [`MIN_TOKENS`]. Concurrent calls may lose a measurement, which is
+    /// there are fewer than `MIN_TOKENS`. Concurrent calls may lose a measurement, which is
     /// acceptable for an average.
     pub fn observe(&self, tokens: u64, elapsed: Duration) {
         if tokens < MIN_TOKENS {
--- a/crates/router/src/admission/retry_budget.rs
+++ b/crates/router/src/admission/retry_budget.rs
@@ -13,7 +13,7 @@
 /// remaining servers see at most 1.2 times the load, whatever fails.
 #[derive(Debug)]
 pub struct RetryBudget {
-    /// Invariant: from 0 to [`LARGEST_BALANCE`].
+    /// Invariant: from 0 to [`MAX_BALANCE`].
     balance: Mutex<f64>,
 }
 
--- a/crates/router/src/control/server_counters.rs
+++ b/crates/router/src/control/server_counters.rs
@@ -52,7 +52,7 @@
 pub struct ServerCounters {
     /// Requests this daemon has in flight on the server.
     in_flight: AtomicU32,
-    /// Prompt tokens this daemon has waiting on the server.
+    /// Prompt tokens this daemon has queued on the server.
     queued_tokens: AtomicU64,
     peer_load: Mutex<Option<PeerLoad>>,
     health: Mutex<HealthRecord>,
@@ -81,8 +81,8 @@
         self.queued_tokens.load(Ordering::Acquire)
     }
 
-    /// Records a load report. The local load is subtracted because it is counted exactly, which
-    /// leaves the delayed view of the load from other daemons.
+    /// Records a load report. This daemon's own load is subtracted, because it is counted exactly;
+    /// what remains is the load from other daemons, as of the report.
     pub(super) fn observe(&self, sample: LoadSample) {
         let local_tokens = self.local_queued_tokens();
         let peers = PeerLoad {
@@ -134,8 +134,9 @@
 /// Returns how many of the `tokens` reported `age` ago still count as queued. A server prefills
 /// its queue within a fraction of a second.
 ///
-/// Prevents an idle server: reports are carried on responses, so a server considered full gets no
-/// requests and sends no newer report, and an old report would keep it empty until it expires.
+/// Prevents a server from staying idle: reports are carried on responses, so a server considered
+/// full gets no requests and sends no newer report, and its old report would keep requests away
+/// until it expires.
 fn decayed_tokens(tokens: u64, age: Duration) -> u64 {
     let left = 1.0 - age.as_secs_f64() / QUEUE_DECAY_TIME.as_secs_f64();
     (tokens as f64 * left.max(0.0)).ceil() as u64
--- a/crates/router/src/control/server_slot.rs
+++ b/crates/router/src/control/server_slot.rs
@@ -13,12 +13,12 @@
 pub struct ServerSlot {
     pub entry: InstanceEntry,
     /// Shared with earlier and later slots of the same server, so that a guard taken before the
-    /// entry changed releases to the same counters.
+    /// entry changed decrements the same counters.
     counters: Arc<ServerCounters>,
 }
 
-/// One request's share of a server's in-flight counters. It is released on drop, on every path
-/// out of a step.
+/// Counts one request in a server's in-flight counters until it is dropped, so that every path out
+/// of a step ends the count.
 #[derive(Debug)]
 pub struct InFlightGuard {
     counters: Arc<ServerCounters>,
@@ -55,7 +55,7 @@
         self.counters.in_flight()
     }
 
-    /// Returns the number of prompt tokens this daemon has waiting on the server.
+    /// Returns the number of prompt tokens this daemon has queued on the server.
     pub fn local_queued_tokens(&self) -> u64 {
         self.counters.local_queued_tokens()
     }
--- a/crates/router/src/control/snapshot.rs
+++ b/crates/router/src/control/snapshot.rs
@@ -51,9 +51,9 @@
     pub role_orders: Arc<RoleOrderRegistry>,
     /// Backend servers from the instance list, drained ones included.
     pub servers: Arc<Vec<Arc<ServerSlot>>>,
-    /// Those of them that are available for new work.
+    /// The servers that are available for new work, by model and role.
     pub pools: Arc<ServerPools>,
-    /// When the platform last answered the table feed and the instance feed.
+    /// When the control table feed and the instance feed were last read.
     pub table_read_at: Option<Instant>,
     pub instances_read_at: Option<Instant>,
 }
@@ -65,7 +65,7 @@
         self.pools.get(role, model)
     }
 
-    /// Returns when the platform last answered both feeds, or `None` before it has.
+    /// Returns the older of the last reads of the two feeds, or `None` until both have been read.
     pub fn last_sync(&self) -> Option<Instant> {
         Some(self.table_read_at?.min(self.instances_read_at?))
     }
--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -20,7 +20,7 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// How often a claim is tried on a key that other writers keep changing.
+/// Attempts to claim a key that other writers keep changing.
 const CLAIM_ATTEMPTS: usize = 3;
 /// Attempts to release a claim whose write the platform did not confirm.
 const RELEASE_ATTEMPTS: u32 = 12;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Releases, in the background, a claim that may have been written although the caller was
-    /// told that nothing ran.
+    /// Releases, in the background, a claim that may have been written although the response to the
+    /// caller says that nothing ran.
     ///
     /// Prevents a key from being blocked forever: if the platform fails between the write and its
     /// reply, the caller is rejected ("not run"), and its retry would find a claim that no daemon
--- a/crates/router/src/leader/lease.rs
+++ b/crates/router/src/leader/lease.rs
@@ -34,7 +34,8 @@
 }
 
 impl LeaderLease {
-    /// Creates a handle that does not hold the lease. The lease lasts `lease` from each renewal.
+    /// Creates a handle that does not hold the lease. The lease lasts `lease_duration` from
+    /// each renewal.
     pub fn new(
         platform: PlatformClient,
         daemon: DaemonId,
--- a/crates/router/src/membership/heartbeat.rs
+++ b/crates/router/src/membership/heartbeat.rs
@@ -1,5 +1,5 @@
 //! The heartbeat: renews this daemon's row, reads the rows of its peers and removes the rows of
-//! daemons that are long gone.
+//! daemons that stopped long ago.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -20,7 +20,7 @@
 /// reading it every sixth heartbeat costs 2.3 KB a second, and reading it at every heartbeat would
 /// use up the whole bandwidth budget for control traffic.
 const HEARTBEATS_PER_READ: u32 = 6;
-/// The age, in leases, at which a row counts as left behind by a daemon that is gone.
+/// The age, in leases, at which a row is taken to belong to a daemon that does not run any more.
 const REMOVAL_AGE_LEASES: u32 = 20;
 
 /// Renews the membership of `daemon`.
@@ -98,7 +98,7 @@
             tracing::info!(
                 event = events::MEMBER_LEASE_CHANGED,
                 is_live,
-                "own membership lease became live or expired"
+                "local membership lease became live or expired"
             );
         }
         self.was_live = is_live;
--- a/crates/router/src/membership/view.rs
+++ b/crates/router/src/membership/view.rs
@@ -19,7 +19,7 @@
     live: Vec<MemberRecord>,
 }
 
-/// The members as last read. The lock is held only to copy a few words.
+/// The members as last read. The lock is never held across an await.
 #[derive(Debug)]
 pub struct MemberView {
     lease_duration: Duration,
@@ -27,7 +27,7 @@
 }
 
 impl MemberView {
-    /// Creates an empty view of leases with the duration `lease`.
+    /// Creates an empty view of leases with the duration `lease_duration`.
     pub fn new(lease_duration: Duration) -> Self {
         MemberView { lease_duration, state: Mutex::new(ViewState::default()) }
     }
@@ -83,7 +83,7 @@
     }
 }
 
-/// Returns true if `row` was renewed less than `lease` before `now_ms`, by the table service's
+/// Returns true if `row` was written less than `max_age` before `now_ms`, by the table service's
 /// clock.
 pub fn is_live(row: &Row, now_ms: u64, max_age: Duration) -> bool {
     now_ms.saturating_sub(row.written_ms) < max_age.as_millis() as u64
--- a/crates/router/src/pipeline/claim.rs
+++ b/crates/router/src/pipeline/claim.rs
@@ -22,8 +22,9 @@
 /// How long an attempt after the first waits for capacity.
 const MAX_RETRY_WAIT: Duration = Duration::from_secs(3);
 /// The fraction of a class's first-token target available for queueing and prefill. The rest
-/// covers prediction errors and callers who retry after a rejection, because they count from their
-/// first attempt. Under overload a shorter queue serves as many requests, but within their target.
+/// covers prediction errors and callers who retry after a rejection, whose time to the first token
+/// counts from their first attempt. Under overload a shorter queue serves as many requests as a
+/// longer one, but within their target.
 const TARGET_FRACTION: f64 = 0.5;
 
 /// A server chosen for a stage, with the request counted in flight there.
@@ -104,7 +105,7 @@
         Some(ClaimedServer { slot, guard, choice })
     }
 
-    /// Claims capacity on a decode server near `prefill`.
+    /// Claims capacity on a decode server, preferably in the failure domain of `prefill`.
     pub fn place_decode(
         &self,
         pool: &ServerPool,
--- a/crates/router/src/pipeline/decode.rs
+++ b/crates/router/src/pipeline/decode.rs
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Claims another decode server for `export`: at once, or, when all were tried, as soon as one
-    /// has capacity.
+    /// Claims another decode server for `export`: at once, or, after [`MAX_DECODE_ATTEMPTS`]
+    /// servers or when none has capacity, as soon as one has.
     async fn place_next_decode(
         &mut self,
         export: &KvExport,
@@ -138,8 +138,8 @@
                 Ok(DecodeStream { reader, slot, _guard: guard, _notifier: notifier })
             }
             // The decode server is healthy, but it could not fetch the export from the prefill
-            // server. Blaming the decode server would eject one decode server after another for a
-            // single stalled link.
+            // server. Recording the failure on the decode server would eject one decode server
+            // after another for a single stalled link.
             Err(error) if error.status() == Some(KV_FETCH_FAILED) => {
                 self.cancel.remove(&slot.entry.addr);
                 self.record_failure(&export.slot);
--- a/crates/router/src/pipeline/plain.rs
+++ b/crates/router/src/pipeline/plain.rs
@@ -34,7 +34,7 @@
 
 /// Timeout of one call that may run only once.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
-/// Timeout of one lookup attempt. Short because the caller is on the phone.
+/// Timeout of one lookup attempt. Short because a person on the phone waits for the result.
 const LOOKUP_TIMEOUT: Duration = Duration::from_millis(400);
 /// The most servers tried for one call or lookup.
 const MAX_ATTEMPTS: usize = 3;
--- a/crates/router/src/pipeline/prefill.rs
+++ b/crates/router/src/pipeline/prefill.rs
@@ -30,7 +30,7 @@
 const STALE_FENCE: &str = "\"stale_fence\"";
 const STEP: &str = "prefill";
 
-/// A finished prefill: the server that holds its KV cache, and how long it keeps it.
+/// A finished prefill: the server that holds its KV cache, and when the server discards it.
 #[derive(Debug)]
 pub(crate) struct KvExport {
     pub reply: PrefillReply,
@@ -101,7 +101,7 @@
     }
 
     /// Records `error` of `step` on `slot` and returns the failure. A server that rejected the
-    /// order holds nothing; one that did not respond is cancelled before any other attempt.
+    /// order holds nothing; one that did not respond gets a cancel order before any other attempt.
     pub async fn handle_step_error(
         &mut self,
         step: &'static str,
--- a/crates/router/src/pipeline/response_assembler.rs
+++ b/crates/router/src/pipeline/response_assembler.rs
@@ -18,9 +18,9 @@
 
 /// The state of one request's response across all its decode streams.
 ///
-/// Prevents crossed, late and repeated lines from reaching the caller. Only a line with this
-/// request's id and the next index is forwarded, and the response is complete only when its last
-/// line states the number of tokens forwarded.
+/// Prevents lines of other requests, late lines and repeated lines from reaching the caller. Only a
+/// line with this request's id and the next index is forwarded, and the response is complete only
+/// when its last line states the number of tokens forwarded.
 #[derive(Debug, Clone)]
 pub struct ResponseAssembler {
     request_id: RequestId,
--- a/crates/router/src/pipeline/response_feed.rs
+++ b/crates/router/src/pipeline/response_feed.rs
@@ -65,7 +65,7 @@
     }
 
     /// Returns the next step. When a stream fails midway, the response resumes on another server at
-    /// the next token: the caller sees only a pause, and no forwarded token is wasted.
+    /// the next token: the caller sees only a pause and keeps the tokens already forwarded.
     pub async fn next(&mut self) -> FeedStep {
         loop {
             let step = match self.next_line().await {
@@ -117,7 +117,7 @@
             .increment(1);
     }
 
-    /// Records the time to the first token that reached the caller.
+    /// Records the time to the first token, just before it is sent to the caller.
     pub fn record_first_token(&self) {
         let priority = self.run.admitted.priority.to_string();
         metrics::histogram!("umberglade_ttft_seconds", "priority" => priority)
--- a/crates/router/src/placement/affinity.rs
+++ b/crates/router/src/placement/affinity.rs
@@ -33,9 +33,9 @@
 /// Slots assumed for a server that has not reported yet.
 const UNKNOWN_SLOTS: u32 = 20;
 
-/// Chooses the prefill server with the least predicted work before the first token (queue, own
-/// prompt, uncached prefix) and the decode server with the most free capacity. Neither is used
-/// beyond its limit, so requests wait at the daemon, where urgent ones go first.
+/// Chooses the prefill server with the least predicted work before the first token (queue, the
+/// prompt itself, uncached prefix) and the decode server with the most free capacity. Neither is
+/// used beyond its limit, so requests wait at the daemon, where urgent ones go first.
 #[derive(Debug, Default)]
 pub struct AffinityPlacement {
     prefix_index: PrefixIndex,
@@ -130,8 +130,8 @@
 }
 
 /// Returns whether `slot` can take one more prompt. It needs a free slot and, for standard
-/// requests, a queue below the preset's limit and this daemon's part of it within its share. The
-/// local part is counted without the lag of load reports.
+/// requests, a queue below the preset's limit with no more than this daemon's share queued by this
+/// daemon. The tokens that this daemon has queued are counted without the lag of load reports.
 fn has_prefill_capacity(
     slot: &ServerSlot,
     load: &ServerLoad,
--- a/crates/router/src/placement/mod.rs
+++ b/crates/router/src/placement/mod.rs
@@ -36,7 +36,7 @@
 pub struct Choice {
     /// Index into the candidates.
     pub index: usize,
-    /// At most [`SCORES_LOGGED`], best first.
+    /// At most [`MAX_LOGGED_SCORES`], best first.
     pub scores: SmallVec<[ScoredServer; MAX_LOGGED_SCORES]>,
 }
 
--- a/crates/router/src/placement/prefix_index.rs
+++ b/crates/router/src/placement/prefix_index.rs
@@ -29,7 +29,7 @@
         };
         entries
             .iter()
-            .filter(|(_, last_used)| last_used.elapsed() < retention)
+            .filter(|(_, used)| used.elapsed() < retention)
             .map(|(server, _)| server.clone())
             .collect()
     }
@@ -39,13 +39,11 @@
         let now = Instant::now();
         let mut holders = self.holders.lock().expect("prefix index lock");
         let entries = holders.entry(prefix_hash).or_default();
-        entries.retain(|(holder, last_used)| {
-            holder != server && now.duration_since(*last_used) < retention
-        });
+        entries.retain(|(holder, used)| holder != server && now.duration_since(*used) < retention);
         entries.push((server.to_owned(), now));
         if holders.len() > MAX_PREFIXES {
             holders.retain(|_, entries| {
-                entries.retain(|(_, last_used)| now.duration_since(*last_used) < retention);
+                entries.retain(|(_, used)| now.duration_since(*used) < retention);
                 !entries.is_empty()
             });
         }
--- a/crates/router/src/platform/feed.rs
+++ b/crates/router/src/platform/feed.rs
@@ -1,5 +1,5 @@
-//! The platform's feeds: long-polling calls, one open at a time, that are answered as soon as
-//! something changes. A change costs one read, with no polling in between.
+//! The platform's feeds: long-polling calls, one open at a time, that return as soon as something
+//! changes. A change costs one read, with no polling in between.
 
 use std::time::Duration;
 
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -7,8 +7,8 @@
 use umberglade_wire::ids::DomainName;
 use umberglade_wire::ids::RegionName;
 
-/// How long a feed request is held open by default while nothing changes. A change is answered at
-/// once. The wait bounds how long a dead connection can go unnoticed and thus delay a change.
+/// How long a feed request is held open by default while nothing changes. A change ends the wait
+/// at once. The wait bounds how long a dead connection can go unnoticed and thus delay a change.
 pub const DEFAULT_FEED_WAIT: Duration = Duration::from_millis(1500);
 /// How often a daemon renews its membership lease by default.
 pub const DEFAULT_HEARTBEAT_INTERVAL: Duration = Duration::from_secs(5);
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -18,7 +18,8 @@
     pub fence: u64,
     /// When this daemon applied `fence`, in milliseconds since the Unix epoch.
     pub fence_applied_unix_ms: Option<u64>,
-    /// Seconds since the platform last answered both feeds; `None` if it never did.
+    /// Seconds since the older of the last reads of the two platform feeds; `None` until both have
+    /// been read.
     pub platform_sync_age_s: Option<f64>,
     pub in_flight: u32,
     /// Requests queued at this daemon for capacity on the backend servers.
--- a/crates/standin/src/engine/mod.rs
+++ b/crates/standin/src/engine/mod.rs
@@ -87,7 +87,7 @@
 }
 
 /// Removes its request from the active requests when dropped, so that the memory of the request is
-/// freed whether its worker completes, fails or loses its caller.
+/// freed whether its worker completes or fails, or its caller disconnects.
 struct SlotGuard {
     shared: Arc<EngineShared>,
     request_id: RequestId,
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -32,7 +32,7 @@
     pub request_id: RequestId,
     pub computed_tokens: u32,
     pub bytes: u64,
-    /// When the export is evicted, and its prefill counts as wasted.
+    /// When the export is evicted if it was not fetched; its prefill then counts as wasted.
     pub expires_at: Instant,
 }
 
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the current [`EngineStats`].
+    /// Returns the statistics with the current numbers of requests and exports.
     pub fn current_stats(&self) -> EngineStats {
         let mut stats = self.stats.clone();
         stats.held_requests = self.active_requests.len() as u32;
--- a/crates/wire/src/client.rs
+++ b/crates/wire/src/client.rs
@@ -1,8 +1,8 @@
 //! The HTTP client that opens one connection per exchange, with a timeout for each step.
 //!
 //! Every exchange opens a new connection on purpose: a pooled connection that does not respond
-//! any more, because a middlebox has lost track of it, would stall every request sent on it,
-//! while a new connection works.
+//! any more, because a middlebox has dropped its state for it, would stall every request sent on
+//! it, while a new connection works.
 
 use std::time::Duration;
 
--- a/crates/wire/src/engine.rs
+++ b/crates/wire/src/engine.rs
@@ -127,8 +127,8 @@
     pub prompt_tokens: u32,
     /// The maximum number of tokens in the response.
     pub max_tokens: u32,
-    /// A digest of the prompt. A stand-in derives its response from it, so that a test can tell to
-    /// which request a response belongs.
+    /// A digest of the prompt. A stand-in derives its response from it, so that a test can check
+    /// to which request a response belongs.
     pub answer_seed: u64,
     /// The 0-based index of the first token to generate. Above 0 when this server continues a
     /// response after another decode server failed partway.
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -5,7 +5,7 @@
 /// The failure of an HTTP exchange with another process.
 ///
 /// Every variant holds the `step` (the operation that was in progress) and the `peer` (the
-/// address of the other process), so that a log line tells where the error occurred.
+/// address of the other process), so that a log line shows where the error occurred.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum WireError {
--- a/crates/wire/src/platform.rs
+++ b/crates/wire/src/platform.rs
@@ -113,12 +113,12 @@
     pub names: Vec<String>,
 }
 
-/// The preset in force. The row contains the complete preset, so that a single conditional write
+/// The active preset. The row contains the complete preset, so that a single conditional write
 /// activates it everywhere and no daemon can combine the name of the active preset with another
 /// edit of it.
 #[derive(Debug, Clone, Serialize, Deserialize, PartialEq)]
 pub struct ActivePreset {
-    /// The name of the preset in force.
+    /// The name of the active preset.
     pub preset: String,
     /// The version of the row of that preset that was activated.
     pub preset_version: RowVersion,
@@ -214,7 +214,8 @@
     pub region: RegionName,
     /// A new number at each start, which makes restarts visible.
     pub incarnation: u64,
-    /// The fencing token in force on the daemon when it renewed the lease.
+    /// The fencing token (version of the active preset) that the daemon had when it renewed the
+    /// lease.
     pub fence: u64,
     /// False when the daemon has started a graceful stop.
     pub serving: bool,
