--- a/crates/router/src/idempotency.rs
+++ b/crates/router/src/idempotency.rs
@@ -20,7 +20,7 @@
 use crate::platform::PlatformClient;
 use crate::platform::WriteOutcome;
 
-/// How often a claim is tried on a key that other writers keep changing.
+/// Attempts to claim a key that other writers keep changing.
 const CLAIM_ATTEMPTS: usize = 3;
 /// Attempts to release a claim whose write the platform did not confirm.
 const RELEASE_ATTEMPTS: u32 = 12;
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Releases, in the background, a claim that may have been written although the caller was
-    /// told that nothing ran.
+    /// Releases, in the background, a claim that may have been written although the response to the
+    /// caller says that nothing ran.
     ///
     /// Prevents a key from being blocked forever: if the platform fails between the write and its
     /// reply, the caller is rejected ("not run"), and its retry would find a claim that no daemon
@@ -150,7 +150,7 @@
         // its condition fail.
         let version = match row {
             None => 0,
-            Some(row) if holds(&row.value, started) => row.version,
+            Some(row) if is_record(&row.value, started) => row.version,
             Some(_) => return Ok(()),
         };
         let not_run = IdempotencyRecord::NotRun { status: 503, body: "not sent".into() };
@@ -162,6 +162,6 @@
 }
 
 /// Returns true if `value` is the record `expected`.
-fn holds(value: &serde_json::Value, expected: &IdempotencyRecord) -> bool {
+fn is_record(value: &serde_json::Value, expected: &IdempotencyRecord) -> bool {
     IdempotencyRecord::deserialize(value).is_ok_and(|record| record == *expected)
 }
