--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -58,20 +58,20 @@
 
 fn peer_update(servers: usize, peer: usize, round: usize) -> PeerUpdate {
     let load = LoadShare::of_stream(&SHAPE);
-    let at = |index: usize| (peer * 7 + index * 31 + round) % servers;
-    let loads =
-        (0..BUSY_SERVERS).map(|index| (server_digest(&format!("engine-{}", at(index))), load));
+    let busy_server = |index: usize| (peer * 7 + index * 31 + round) % servers;
+    let loads = (0..BUSY_SERVERS)
+        .map(|index| (server_digest(&format!("engine-{}", busy_server(index))), load));
     PeerUpdate { loads: loads.collect(), ..PeerUpdate::default() }
 }
 
 /// Returns a site in which every gateway has reported.
 fn site(gateways: usize, servers: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::default();
-    for at in 0..servers {
-        let is_prefill = at % ENGINES_PER_PREFILL_SERVER == 0;
+    for index in 0..servers {
+        let is_prefill = index % ENGINES_PER_PREFILL_SERVER == 0;
         let stage = if is_prefill { ServerStage::Prefill } else { ServerStage::Decode };
-        fleet.upsert(entry("engine", at, stage), at as u64 + 1);
-        fleet.upsert(entry("plain", at, ServerStage::Plain), (servers + at) as u64 + 1);
+        fleet.upsert(entry("engine", index, stage), index as u64 + 1);
+        fleet.upsert(entry("plain", index, ServerStage::Plain), (servers + index) as u64 + 1);
     }
     for peer in 1..gateways {
         fleet.peers.record(&format!("gw-{peer}"), 1, 1, peer_update(servers, peer, 0), now);
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -40,8 +40,8 @@
 
     /// Returns the headers with which a caller's request is sent to a server: the caller's, without
     /// hop-by-hop headers and those that only the gateway may set, plus those that follow from
-    /// `order`.
-    fn upstream_headers(headers: &HeaderMap, order: &AttemptSpec) -> HeaderMap;
+    /// `attempt`.
+    fn upstream_headers(headers: &HeaderMap, attempt: &AttemptSpec) -> HeaderMap;
 
     /// Sets the headers that identify the caller to servers, whatever the caller sent in them, and
     /// removes its key if organisations hold keys.
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -50,7 +50,7 @@
             peer,
             "peer has a newer configuration; reading the store"
         );
-        self.config_due.notify(usize::MAX);
+        self.config_read_requested.notify(usize::MAX);
     }
 
     /// Runs `change` on the record of newer configurations.
@@ -69,7 +69,7 @@
     /// Requests an immediate read of the configuration, unless one was requested very recently.
     pub fn request_config_read(&self) {
         if self.with_config_watch(|watch| watch.may_request_read(Instant::now())) {
-            self.config_due.notify(usize::MAX);
+            self.config_read_requested.notify(usize::MAX);
         }
     }
 
--- a/crates/gateway/src/flow_state.rs
+++ b/crates/gateway/src/flow_state.rs
@@ -38,7 +38,7 @@
         if let Some(change) = change {
             self.log_limit(server, change, "answer");
             // Reports immediately: peers apply the previous limit until they receive the report.
-            self.report_due.notify(1);
+            self.report_requested.notify(1);
         }
     }
 
@@ -48,7 +48,7 @@
         self.log_backoff(&target.server, delay, "answer");
         if is_extended {
             // Reports immediately: peers report the backoff back to this gateway after a restart.
-            self.report_due.notify(1);
+            self.report_requested.notify(1);
         }
     }
 
@@ -105,7 +105,7 @@
         );
         self.log_changes(&[change], version);
         // Reports immediately: peers send requests to the server until they receive the report.
-        self.report_due.notify(1);
+        self.report_requested.notify(1);
     }
 
     fn log_limit(
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -124,7 +124,7 @@
             return true;
         }
         let route = &call.route;
-        let runs_left = self.runs < route.max_attempts && (self.runs == 0 || route.is_repeatable());
+        let runs_left = self.runs < route.max_attempts && (self.runs == 0 || route.is_retryable());
         runs_left
             && self.count
                 < route.max_attempts + MAX_NOT_RUN_RETRIES + self.unsent.min(MAX_UNSENT_RETRIES)
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -120,7 +120,7 @@
             state.service_queues.with_queue(&call.service, |queue| queue.head_since(ticket, now));
         let earliest_placement = head_since.map(|since| earliest_placement(state, call, since));
         if earliest_placement.is_some_and(|at| now < at) && !is_reported {
-            state.report_due.notify(1);
+            state.report_requested.notify(1);
             is_reported = true;
         }
         if earliest_placement.is_some_and(|at| now >= at) && !is_provisional {
@@ -146,7 +146,7 @@
                         .service_queues
                         .with_queue(&call.service, AdmissionQueue::record_no_capacity);
                     if !is_reported {
-                        state.report_due.notify(1);
+                        state.report_requested.notify(1);
                         is_reported = true;
                     }
                 }
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -56,7 +56,7 @@
     fn is_final(&self, call: &Call) -> bool {
         match self {
             SendOutcome::Responded(response) => {
-                !(call.route.is_repeatable() && response.status().is_server_error())
+                !(call.route.is_retryable() && response.status().is_server_error())
             }
             SendOutcome::Failed(_) => false,
         }
@@ -129,7 +129,7 @@
 
 /// Returns the delay before the call is hedged; `None` for calls that may run only once.
 fn hedge_delay(call: &Call, attempts: &Attempts) -> Option<Duration> {
-    let may_run_twice = call.route.is_repeatable() && attempts.runs + 2 <= call.route.max_attempts;
+    let may_run_twice = call.route.is_retryable() && attempts.runs + 2 <= call.route.max_attempts;
     may_run_twice.then(|| {
         let target = call.route.target_latency.map(|target| target.mul_f64(HEDGE_LATENCY_FRACTION));
         target.unwrap_or(DEFAULT_HEDGE_DELAY).saturating_sub(call.arrived.elapsed())
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -106,7 +106,7 @@
                 attempts.runs += 1;
                 may_have_run = true;
                 let is_error = response.status().is_server_error();
-                if !(is_error && call.route.is_repeatable()) {
+                if !(is_error && call.route.is_retryable()) {
                     return response;
                 }
                 error_response = Some(response);
@@ -149,7 +149,7 @@
 /// Returns the timeout of the first event: the call's deadline if no other server may be tried.
 fn first_event_timeout(call: &Call, attempts: &Attempts) -> Duration {
     let time_left = call.time_left(Instant::now());
-    let may_retry = call.route.is_repeatable() && attempts.runs + 1 < call.route.max_attempts;
+    let may_retry = call.route.is_retryable() && attempts.runs + 1 < call.route.max_attempts;
     if may_retry { time_left.min(FIRST_EVENT_TIMEOUT) } else { time_left }
 }
 
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -93,7 +93,7 @@
         credentials: credentials(&head.key),
         body: &body,
     }
-    .digest();
+    .fingerprint();
     let draw = umberglade_wire::digest(request_id.as_bytes());
     let service = route.service(draw).clone();
     let spec = service_spec(&table, &service);
--- a/crates/gateway/src/leader/stage_controller.rs
+++ b/crates/gateway/src/leader/stage_controller.rs
@@ -68,7 +68,7 @@
     spec: &EngineSpec,
     now: Instant,
 ) -> StageSnapshot {
-    let local_queued = state.service_queues.with_queue(service, |line| line.len());
+    let local_queued = state.service_queues.with_queue(service, |queue| queue.len());
     let queued = local_queued + state.peer_queues(service).waiting as usize;
     let snapshot = stage_snapshot(&state.fleet(), service, queued, now);
     let target_prefill =
@@ -114,7 +114,7 @@
         let result = send_order::<C>(state, &target, change.to, fence, is_within_window).await;
         if result.is_ok() {
             state.fleet().begin_stage_change(&server, change.to, Instant::now());
-            state.report_due.notify(1);
+            state.report_requested.notify(1);
         }
         metrics::counter!("umberglade_orders_total").increment(1);
         tracing::info!(
--- a/crates/gateway/src/load_guard.rs
+++ b/crates/gateway/src/load_guard.rs
@@ -21,17 +21,17 @@
     pub server: ServerKey,
     /// Incarnation of the server at which the load is counted; `None` if the server is unknown.
     incarnation: Option<ServerIncarnation>,
-    work: LoadShare,
+    load: LoadShare,
     started_at: Instant,
 }
 
 impl LoadGuard {
-    /// Adds `work` to the load of `server`.
-    pub fn begin(state: &Arc<GatewayState>, server: ServerKey, work: LoadShare) -> Self {
+    /// Adds `load` to the load of `server`.
+    pub fn begin(state: &Arc<GatewayState>, server: ServerKey, load: LoadShare) -> Self {
         let started_at = Instant::now();
-        let incarnation = state.fleet().add_load(&server, work, started_at);
-        request_report(state, work);
-        LoadGuard { state: Arc::clone(state), server, incarnation, work, started_at }
+        let incarnation = state.fleet().add_load(&server, load, started_at);
+        request_report(state, load);
+        LoadGuard { state: Arc::clone(state), server, incarnation, load, started_at }
     }
 
     /// Returns the time since the load was added.
@@ -42,32 +42,32 @@
     /// Records that `generated_tokens` tokens have been generated, and extends the estimate of a
     /// response that has reached it.
     pub fn record_progress(&mut self, generated_tokens: u32) {
-        let mut updated = self.work;
+        let mut updated = self.load;
         updated.made_tokens = generated_tokens;
         if generated_tokens >= updated.output_tokens {
             updated.output_tokens = generated_tokens + generated_tokens / OVERRUN_DIVISOR;
         }
         if let Some(incarnation) = self.incarnation {
-            self.state.fleet().replace_load(&self.server, incarnation, self.work, updated);
+            self.state.fleet().replace_load(&self.server, incarnation, self.load, updated);
         }
-        self.work = updated;
+        self.load = updated;
     }
 }
 
 /// Requests an immediate report to the peers for a stream, which takes a large fraction of an
 /// engine for seconds. Plain calls end before a report would arrive.
-fn request_report(state: &GatewayState, work: LoadShare) {
-    if work.prompt_tokens > 0 {
-        state.report_due.notify(1);
+fn request_report(state: &GatewayState, load: LoadShare) {
+    if load.prompt_tokens > 0 {
+        state.report_requested.notify(1);
     }
 }
 
 impl Drop for LoadGuard {
     fn drop(&mut self) {
         if let Some(incarnation) = self.incarnation {
-            self.state.fleet().remove_load(&self.server, incarnation, self.work);
+            self.state.fleet().remove_load(&self.server, incarnation, self.load);
         }
-        request_report(&self.state, self.work);
+        request_report(&self.state, self.load);
         self.state.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/model/request_fingerprint.rs
+++ b/crates/gateway/src/model/request_fingerprint.rs
@@ -18,7 +18,7 @@
 impl FingerprintParts<'_> {
     /// Computes the fingerprint. Each part's digest seeds the next, so that moving bytes from the
     /// end of one part to the start of the next changes the fingerprint.
-    pub fn digest(&self) -> RequestFingerprint {
+    pub fn fingerprint(&self) -> RequestFingerprint {
         let parts = [
             self.method.as_bytes(),
             self.host.as_bytes(),
--- a/crates/gateway/src/model/route_table.rs
+++ b/crates/gateway/src/model/route_table.rs
@@ -64,7 +64,7 @@
 
 impl Route {
     /// Returns true when a request may be retried even though it may have run already.
-    pub fn is_repeatable(&self) -> bool {
+    pub fn is_retryable(&self) -> bool {
         match self.kind {
             CallKind::Idempotent => true,
             CallKind::AtMostOnce => false,
--- a/crates/gateway/src/peers/config_transfer.rs
+++ b/crates/gateway/src/peers/config_transfer.rs
@@ -29,13 +29,13 @@
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 /// Maximum size of a fetched copy, in bytes.
-const MAX_COPY_BYTES: u64 = 4 * 1024 * 1024;
+const MAX_SNAPSHOT_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Sends the configuration in force to each gateway that connects, until the process stops.
 pub async fn serve_config(state: Arc<GatewayState>, listener: TcpListener) {
     loop {
         match listener.accept().await {
-            Ok((stream, _)) => pool::spawn(send_copy(Arc::clone(&state), stream)),
+            Ok((stream, _)) => pool::spawn(send_snapshot(Arc::clone(&state), stream)),
             Err(error) => {
                 tracing::warn!(event = events::ACCEPT_FAILED, %error, "accept of a peer failed");
                 smol::Timer::after(ACCEPT_RETRY_DELAY).await;
@@ -44,12 +44,12 @@
     }
 }
 
-async fn send_copy(state: Arc<GatewayState>, mut stream: TcpStream) {
-    let copy = state.with_config(|in_force| {
+async fn send_snapshot(state: Arc<GatewayState>, mut stream: TcpStream) {
+    let snapshot = state.with_config(|in_force| {
         in_force.current().map(|(row_version, table)| ConfigSnapshot::of(*row_version, table))
     });
-    let Some(copy) = copy else { return };
-    let bytes = postcard::to_allocvec(&copy).expect("encoding plain fields");
+    let Some(snapshot) = snapshot else { return };
+    let bytes = postcard::to_allocvec(&snapshot).expect("encoding plain fields");
     let write = async {
         stream.write_all(&bytes).await?;
         stream.close().await
@@ -62,10 +62,10 @@
 /// process stops.
 pub async fn fetch_newer_configs(state: Arc<GatewayState>) {
     loop {
-        state.config_due.listen().await;
+        state.config_read_requested.listen().await;
         smol::Timer::after(STORE_READ_DELAY).await;
         while let Some((peer, heard)) = state.newer_config() {
-            let outcome = match fetch_copy(&state, peer).await {
+            let outcome = match fetch_snapshot(&state, peer).await {
                 Ok(true) => "taken".to_owned(),
                 Ok(false) => "no newer one".to_owned(),
                 Err(error) => error.to_string(),
@@ -86,18 +86,18 @@
     }
 }
 
-async fn fetch_copy(state: &GatewayState, peer: SocketAddr) -> io::Result<bool> {
+async fn fetch_snapshot(state: &GatewayState, peer: SocketAddr) -> io::Result<bool> {
     let read = async {
         let stream = TcpStream::connect(peer).await?;
         let mut bytes = Vec::new();
-        stream.take(MAX_COPY_BYTES).read_to_end(&mut bytes).await?;
+        stream.take(MAX_SNAPSHOT_BYTES).read_to_end(&mut bytes).await?;
         Ok::<_, io::Error>(bytes)
     };
     let bytes = with_deadline(Instant::now() + TRANSFER_TIMEOUT, read)
         .await
         .unwrap_or_else(|| Err(io::ErrorKind::TimedOut.into()))?;
-    let copy: ConfigSnapshot = postcard::from_bytes(&bytes)
+    let snapshot: ConfigSnapshot = postcard::from_bytes(&bytes)
         .map_err(|error| io::Error::new(io::ErrorKind::InvalidData, error))?;
-    let row_version = copy.row_version;
-    Ok(state.apply_config(row_version, copy.into_table(), "gateway"))
+    let row_version = snapshot.row_version;
+    Ok(state.apply_config(row_version, snapshot.into_table(), "gateway"))
 }
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -51,7 +51,7 @@
     let mut remote_peer_cycle = RemotePeerCycle::new(Instant::now());
     let mut full_report_due = Instant::now();
     for sequence in 1.. {
-        let changed = state.report_due.listen();
+        let changed = state.report_requested.listen();
         let shards = state.fleet().peer_shards();
         let PeerGroups { local_shard, .. } = registry.groups(&state.settings.instance, shards);
         let due = Instant::now() + report_interval(local_shard.len());
@@ -135,7 +135,7 @@
     let loads = state.fleet().local_loads();
     let aside = state.fleet().local_ejections(now);
     let changing = state.fleet().local_stage_changes(now);
-    let store_calm = state.fleet().store_stable_duration(now);
+    let store_stable_for = state.fleet().store_stable_duration(now);
     let limits = state.fleet().limits.updates(is_full, now);
     let departures = state.fleet().departures.updates(is_full, now);
     let backoffs = state.fleet().backoff_updates(is_full, new_peers, now);
@@ -145,14 +145,14 @@
         incarnation,
         sequence,
         loads,
-        store_calm_ms: store_calm.as_millis() as u64,
+        store_calm_ms: store_stable_for.as_millis() as u64,
         retries: state.local_retries(),
         aside,
         lines: state.service_queues.local_queues(now),
         changing,
         learned: is_full.then(|| state.local_estimates()),
         config: state.config_version(),
-        tables: state.readings.notices(now),
+        tables: state.shared_tables.notices(now),
         charges: state.quotas.updates(is_full),
         age_ms: state.age().as_millis() as u64,
         outcomes: state.quarantines.updates(is_full),
@@ -173,7 +173,7 @@
     loop {
         match socket.recv_from(&mut buffer).await {
             Ok((length, peer)) => match postcard::from_bytes(&buffer[..length]) {
-                Ok(PeerMessage::Rows(rows)) => state.readings.apply_peer_rows(rows),
+                Ok(PeerMessage::Rows(rows)) => state.shared_tables.apply_peer_rows(rows),
                 Ok(PeerMessage::Load(report)) => {
                     add_peer(&state, &registry, &report.peer, peer);
                     apply_report(&state, *report, peer);
@@ -230,7 +230,7 @@
     if report.sequence <= STARTUP_REPORTS || !is_known {
         let digest = server_digest(&report.peer);
         state.new_peers.lock().expect("new peers lock").push(digest);
-        state.report_due.notify(1);
+        state.report_requested.notify(1);
     }
     let update = PeerUpdate {
         reach: report.reach,
@@ -250,8 +250,8 @@
         state.quotas.apply_peer_charges(digest, report.incarnation, age, &report.charges, &view);
     }
     state.fleet().peers.record(&report.peer, report.incarnation, report.sequence, update, now);
-    if let Some(learned) = report.learned {
-        state.fleet().peers.record_estimates(&report.peer, learned, now);
+    if let Some(estimates) = report.learned {
+        state.fleet().peers.record_estimates(&report.peer, estimates, now);
     }
     state.apply_peer_config_version(&report.peer, address, report.config);
     for notice in report.tables {
@@ -259,7 +259,7 @@
             let age = Duration::from_millis(notice.age_ms);
             state.record_config_fresh(now.checked_sub(age).unwrap_or(now));
         }
-        state.readings.apply_peer_notice(&report.peer, notice, now);
+        state.shared_tables.apply_peer_notice(&report.peer, notice, now);
     }
     for update in report.limits {
         state.apply_peer_limit(update);
--- a/crates/gateway/src/peers/row_sender.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -17,27 +17,27 @@
 /// process stops.
 pub async fn send_rows(state: Arc<GatewayState>, registry: Arc<PeerRegistry>, socket: UdpSocket) {
     loop {
-        let rows_read = state.readings.next_outgoing_rows().await;
+        let table_rows = state.shared_tables.next_outgoing_rows().await;
         let peers = registry.addresses_except(&state.settings.instance);
-        for datagram in datagrams(rows_read) {
+        for datagram in datagrams(table_rows) {
             for address in &peers {
                 // Peers detect a lost datagram by the fingerprint in the next report.
                 let _ = socket.send_to(&datagram, address).await;
             }
         }
         // Sends a report, so that peers can compare their content with this gateway's.
-        state.report_due.notify(1);
+        state.report_requested.notify(1);
     }
 }
 
-/// Encodes `rows_read` into as many datagrams as needed. A row that fits into none is left out:
+/// Encodes `table_rows` into as many datagrams as needed. A row that fits into none is left out:
 /// peers detect by the fingerprint that they lack it.
-fn datagrams(rows_read: TableRows) -> Vec<Vec<u8>> {
-    let table = rows_read.table;
+fn datagrams(table_rows: TableRows) -> Vec<Vec<u8>> {
+    let table = table_rows.table;
     let mut datagrams = Vec::new();
     let mut rows = Vec::new();
     let mut bytes = 0;
-    for row in rows_read.rows {
+    for row in table_rows.rows {
         let size = postcard::to_allocvec(&row).expect("encoding plain fields").len();
         if size > MAX_ROWS_BYTES {
             continue;
--- a/crates/gateway/src/service_queues.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -82,9 +82,9 @@
     /// Returns this gateway's local estimates for `service`.
     pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
         EngineEstimates {
-            outputs: self.with_output_estimate(service, |outputs| *outputs),
+            outputs: self.with_output_estimate(service, |output_estimate| *output_estimate),
             balance: self.with_stage_balance(service, |balance| *balance),
-            opening: self.with_first_event_time(service, |opening| *opening),
+            opening: self.with_first_event_time(service, |first_event_time| *first_event_time),
         }
     }
 
@@ -94,7 +94,7 @@
         let Some(timeout) = timeout else { return Duration::ZERO };
         let mut typical_timeouts = self.typical_timeouts.lock().expect("typical timeouts lock");
         match typical_timeouts.get_mut(route) {
-            Some(known) => known.record(timeout),
+            Some(typical_timeout) => typical_timeout.record(timeout),
             None => typical_timeouts.entry(route.to_owned()).or_default().record(timeout),
         }
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -57,16 +57,16 @@
     pub service_queues: ServiceQueues,
     /// Notified when the peers are to receive a report immediately, as when streams start, end or
     /// queue.
-    pub report_due: Event,
+    pub report_requested: Event,
     /// Digests of peers that have just started or from which reports have just started to arrive.
     /// Unless empty, the next report includes what most reports omit.
     pub new_peers: Mutex<Vec<u64>>,
     /// Notified when the configuration should be read from the store immediately.
-    pub config_due: Event,
+    pub config_read_requested: Event,
     /// Notified when a server may have capacity again, or more has become known.
     pub capacity_changed: Event,
     /// Store tables that gateways read for their peers.
-    pub readings: SharedTables,
+    pub shared_tables: SharedTables,
     /// Requests that are quarantined because servers crash while executing them.
     pub quarantines: Quarantines,
     /// Remaining quotas of organisations.
@@ -102,16 +102,16 @@
         let digest = server_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
-            readings: SharedTables::new(digest, &settings),
+            shared_tables: SharedTables::new(digest, &settings),
             settings,
             metrics,
             pool: ConnectionPool::default(),
             stop: StopSignal::default(),
             in_flight: InFlightCount::default(),
             service_queues: ServiceQueues::default(),
-            report_due: Event::new(),
+            report_requested: Event::new(),
             new_peers: Mutex::default(),
-            config_due: Event::new(),
+            config_read_requested: Event::new(),
             capacity_changed: Event::new(),
             quarantines: Quarantines::new(started_at),
             quotas: Quotas::new(started_at),
@@ -272,7 +272,7 @@
         if self.quarantines.record_completion(fingerprint, target) {
             self.capacity_changed.notify(usize::MAX);
             // Peers quarantine the request until they receive the report.
-            self.report_due.notify(1);
+            self.report_requested.notify(1);
         }
     }
 
@@ -288,7 +288,7 @@
         if self.quarantines.record_crash(request_id, fingerprint, target, run_duration) {
             self.capacity_changed.notify(usize::MAX);
         }
-        self.report_due.notify(1);
+        self.report_requested.notify(1);
     }
 
     fn is_initialized(&self) -> bool {
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -73,6 +73,6 @@
     }
 
     fn read_trigger(&self) -> Option<EventListener> {
-        Some(self.state.config_due.listen())
+        Some(self.state.config_read_requested.listen())
     }
 }
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -106,7 +106,7 @@
         self.state.fleet().record_store_available(Instant::now());
         // Prevents missing a configuration change made during the outage: the configuration's long
         // feed call, on a connection from before the outage, would not show it.
-        self.state.config_due.notify(usize::MAX);
+        self.state.config_read_requested.notify(usize::MAX);
     }
 
     fn record_read(&mut self) {
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -81,12 +81,12 @@
     ) -> Result<(), StoreError> {
         let (path, body) = C::put_request(table, key, value);
         metrics::counter!("umberglade_store_calls_total", "call" => "put").increment(1);
-        let reply = self
+        let response = self
             .connection
             .call("store write", Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
-        check_status(&reply)
+        check_status(&response)
     }
 
     /// Writes one row if it still has `expected_version`. Returns the store's version after the
@@ -124,16 +124,16 @@
         (path, body): (String, Bytes),
     ) -> Result<Option<StoreVersion>, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => kind).increment(1);
-        let reply = self
+        let response = self
             .connection
             .call(step, Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
-        if reply.status == StatusCode::PRECONDITION_FAILED {
+        if response.status == StatusCode::PRECONDITION_FAILED {
             return Ok(None);
         }
-        check_status(&reply)?;
-        C::written_version(&reply.body).context(DecodeSnafu).map(Some)
+        check_status(&response)?;
+        C::written_version(&response.body).context(DecodeSnafu).map(Some)
     }
 
     /// Returns the rows of `table` at one point in time, for tables of a few rows.
@@ -148,15 +148,15 @@
         timeout: Duration,
     ) -> Result<RowBatch, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => step).increment(1);
-        let reply = self.connection.get(step, path, timeout).await.context(ExchangeSnafu)?;
-        check_status(&reply)?;
-        C::row_batch(&reply.body).context(DecodeSnafu)
+        let response = self.connection.get(step, path, timeout).await.context(ExchangeSnafu)?;
+        check_status(&response)?;
+        C::row_batch(&response.body).context(DecodeSnafu)
     }
 }
 
-fn check_status(reply: &BufferedResponse) -> Result<(), StoreError> {
-    if reply.status.is_success() {
+fn check_status(response: &BufferedResponse) -> Result<(), StoreError> {
+    if response.status.is_success() {
         return Ok(());
     }
-    Err(StoreError::Status { status: reply.status })
+    Err(StoreError::Status { status: response.status })
 }
--- a/crates/gateway/src/store/table_coordinator.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -156,7 +156,7 @@
         let may_send_yet = now.saturating_duration_since(since) >= SEND_DELAY;
         let sends_rows = may_send_yet && self.shared_table().readers().sends_rows(now);
         if sends_rows && !updates.is_empty() && self.may_send_rows(&updates) {
-            self.state.readings.send_rows(self.table, updates);
+            self.state.shared_tables.send_rows(self.table, updates);
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     fn shared_table(&self) -> &SharedTable {
-        self.state.readings.table(self.table)
+        self.state.shared_tables.table(self.table)
     }
 
     fn rank(&self, now: Instant) -> ReaderRank {
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -212,11 +212,11 @@
             let read_trigger = self.sink.read_trigger();
             let feed = self.client.feed(self.table, version, feed_wait);
             let Some(read_trigger) = read_trigger else { return feed.await };
-            let cut = async {
+            let interrupted = async {
                 read_trigger.await;
                 None
             };
-            if let Some(batch) = async { Some(feed.await) }.or(cut).await {
+            if let Some(batch) = async { Some(feed.await) }.or(interrupted).await {
                 return batch;
             }
         }
@@ -246,8 +246,8 @@
         }
     }
 
-    fn log_available(&self, failures: u32, read_at: Instant) {
-        let outage_ms = read_at.elapsed().as_millis() as u64;
+    fn log_available(&self, failures: u32, known_at: Instant) {
+        let outage_ms = known_at.elapsed().as_millis() as u64;
         tracing::info!(
             event = events::STORE_AVAILABLE,
             table = %self.table,
@@ -261,9 +261,9 @@
         &self,
         error: &StoreError,
         position: Option<StoreVersion>,
-        read_at: Instant,
+        known_at: Instant,
     ) {
-        let age_ms = read_at.elapsed().as_millis() as u64;
+        let age_ms = known_at.elapsed().as_millis() as u64;
         tracing::warn!(
             event = events::STORE_UNAVAILABLE,
             table = %self.table,
@@ -274,10 +274,10 @@
         );
     }
 
-    fn record_age(&self, read_at: Instant) {
+    fn record_age(&self, known_at: Instant) {
         let table = self.table.to_string();
         metrics::gauge!("umberglade_store_age_ms", "table" => table)
-            .set(read_at.elapsed().as_millis() as f64);
+            .set(known_at.elapsed().as_millis() as f64);
     }
 }
 
--- a/crates/gateway/tests/request_fingerprint.rs
+++ b/crates/gateway/tests/request_fingerprint.rs
@@ -54,7 +54,7 @@
         },
     ];
     for case in cases {
-        let is_same = case.parts.digest() == BASE_PARTS.digest();
+        let is_same = case.parts.fingerprint() == BASE_PARTS.fingerprint();
         assert_eq!(is_same, case.is_same, "{}", case.name);
     }
 }
