--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -28,7 +28,7 @@
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 /// One engine in this many is a prefill server.
 const ENGINES_PER_PREFILL_SERVER: usize = 3;
-/// Number of servers at which a gateway has work.
+/// Number of servers at which a gateway has load.
 const BUSY_SERVERS: usize = 4;
 
 const SHAPE: PromptShape =
--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -27,8 +27,10 @@
     pub problem: String,
 }
 
-/// Translates the names, formats and calls of a platform, without decisions or state. Implemented
-/// by the `platform/` package; a generic parameter, so that the request path needs no `dyn`.
+/// Translates the names, formats and calls of a platform, without decisions or state.
+///
+/// The `platform/` package implements it. The gateway takes the implementation as a generic
+/// parameter, so that the request path needs no `dyn`.
 pub trait PlatformCodec: Send + Sync + 'static {
     /// Path at which the load balancer checks whether this instance accepts requests.
     const READY_PATH: &'static str;
--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this process: access to it, its replacement, and whether it is the
+//! The configuration in force at this process: reads it, replaces it, and checks whether it is the
 //! newest.
 
 use std::collections::HashSet;
@@ -53,7 +53,7 @@
         self.config_read_requested.notify(usize::MAX);
     }
 
-    /// Runs `change` on the record of newer configurations.
+    /// Runs `change` on the record of whether the configuration in force is the newest.
     pub fn with_config_watch<T>(&self, change: impl FnOnce(&mut ConfigWatch) -> T) -> T {
         change(&mut self.config_watch.lock().expect("config watch lock"))
     }
@@ -81,8 +81,8 @@
         source.filter(|(_, version)| *version > local_version)
     }
 
-    /// Applies `table`, which `source` holds at row version `row_version`. Returns true if it is
-    /// now in force.
+    /// Puts `table` in force if it is newer than the configuration in force, and returns whether it
+    /// was. `row_version` is the version of its store row; `source` is logged.
     pub fn apply_config(
         &self,
         row_version: StoreVersion,
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -22,7 +22,7 @@
 pub const CALL_HEDGED: u32 = 5011;
 /// A retry was denied: the retry budget is exhausted.
 pub const RETRY_DENIED: u32 = 5012;
-/// A KV cache that no decode server took was released.
+/// A KV cache that no decode server fetched was released.
 pub const CACHE_RELEASED: u32 = 5013;
 /// A request for a stream finds no capacity; gives the deciding reason.
 pub const NO_CAPACITY: u32 = 5014;
@@ -45,7 +45,7 @@
 pub const ROW_UNREADABLE: u32 = 6004;
 /// A table of the store is available again.
 pub const STORE_AVAILABLE: u32 = 6005;
-/// A table of the store can't be read; the state read last stays in force.
+/// A table of the store can't be read; the gateway keeps the state that it read last.
 pub const STORE_UNAVAILABLE: u32 = 6006;
 /// Reports of another gateway arrive, for the first time or again.
 pub const PEER_AVAILABLE: u32 = 6007;
@@ -59,7 +59,7 @@
 pub const LEADERSHIP_CLAIMED: u32 = 6011;
 /// An engine was ordered to change its stage.
 pub const ENGINE_ORDERED: u32 = 6012;
-/// A datagram that is no report of a gateway was received.
+/// A datagram that can't be decoded as a message of a gateway was received.
 pub const REPORT_UNREADABLE: u32 = 6013;
 /// This gateway starts to read a table of the store, or relies on its peers' reads from now on.
 pub const READ_ROLE_CHANGED: u32 = 6014;
--- a/crates/gateway/src/flow_state.rs
+++ b/crates/gateway/src/flow_state.rs
@@ -101,7 +101,7 @@
             server = server.as_deref(),
             incarnation,
             source,
-            "server stated that it is leaving"
+            "server stated that it is draining"
         );
         self.log_changes(&[change], version);
         // Reports immediately: peers send requests to the server until they receive the report.
--- a/crates/gateway/src/in_flight_count.rs
+++ b/crates/gateway/src/in_flight_count.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Default)]
 pub struct InFlightCount {
     requests: Arc<AtomicU32>,
-    /// Callers' connections that a stop closes.
+    /// Callers' connections that a stop closes and waits for.
     connections: Arc<AtomicU32>,
 }
 
--- a/crates/gateway/src/leader/leader_row.rs
+++ b/crates/gateway/src/leader/leader_row.rs
@@ -20,8 +20,9 @@
 /// Returns true if the leadership of `row` may be claimed at `store_time`.
 ///
 /// Prevents two gateways from sending orders to the same engine in turn: each would undo the
-/// other's change, and an engine that does not check fencing tokens obeys both. A leader that froze
-/// finds by its own clock that its claim is too old; the lease of one that died is waited out.
+/// other's change, and an engine that does not check fencing tokens obeys both. A leader whose
+/// process froze finds by its own clock that its claim is too old; for one that died, the others
+/// wait until the lease expires.
 pub fn is_claimable(row: Option<&LeaderRow>, store_time: Duration) -> bool {
     row.is_none_or(|row| row.until <= store_time)
 }
--- a/crates/gateway/src/leader/mod.rs
+++ b/crates/gateway/src/leader/mod.rs
@@ -1,4 +1,5 @@
-//! Work that one gateway, the leader, does for all: ordering engines to change their stage.
+//! Work that one gateway, the leader, does for all gateways: it orders engines to change their
+//! stage.
 //!
 //! A row of the store decides which gateway is the leader. It is claimed with a lease before each
 //! set of orders; no lease is held while there is nothing to do.
--- a/crates/gateway/src/leader/order.rs
+++ b/crates/gateway/src/leader/order.rs
@@ -59,9 +59,10 @@
 /// Orders the engine at `target` to change to `stage`. `is_within_window` is checked last, just
 /// before the order is sent.
 ///
-/// The order is sent on the connection on which the engine has just sent its report. Prevents an
-/// order from taking effect on the engine's next incarnation: that one has the same id and has
-/// accepted no orders, as may be true of the one before it; a connection ends with its process.
+/// The order is sent on the connection on which the engine has just sent its report: a connection
+/// ends with its process. Prevents an order from taking effect on the engine's next incarnation,
+/// which the order itself may not distinguish: it has the same id, and the number of accepted
+/// orders may be 0 for both.
 pub async fn send_order<C: PlatformCodec>(
     state: &GatewayState,
     target: &SendTarget,
--- a/crates/gateway/src/leader/stage_controller.rs
+++ b/crates/gateway/src/leader/stage_controller.rs
@@ -1,4 +1,5 @@
-//! Polls the prefill and decode pools and, if this gateway is the one to act, changes their sizes.
+//! Polls the prefill and decode pools, and changes their sizes if this gateway claims the
+//! leadership.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,7 +33,7 @@
 
 /// Interval at which the pools are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a gateway must have read the store before it acts for all.
+/// How long a gateway must have read the store without an outage before it may act as the leader.
 const MIN_STABLE_DURATION: Duration = Duration::from_secs(2);
 /// Time after sending the claim in which orders may be sent, by a clock that also counts the time
 /// for which the instance was suspended.
--- a/crates/gateway/src/load_guard.rs
+++ b/crates/gateway/src/load_guard.rs
@@ -26,7 +26,7 @@
 }
 
 impl LoadGuard {
-    /// Adds `load` to the load of `server`.
+    /// Adds `load` to that of `server`, until the guard is dropped.
     pub fn begin(state: &Arc<GatewayState>, server: ServerKey, load: LoadShare) -> Self {
         let started_at = Instant::now();
         let incarnation = state.fleet().add_load(&server, load, started_at);
--- a/crates/gateway/src/model/request_fingerprint.rs
+++ b/crates/gateway/src/model/request_fingerprint.rs
@@ -1,4 +1,4 @@
-//! The fingerprint by which repeated requests are recognised.
+//! The fingerprint by which a request that is sent again is recognised.
 
 use super::RequestFingerprint;
 
--- a/crates/gateway/src/model/route_table.rs
+++ b/crates/gateway/src/model/route_table.rs
@@ -40,7 +40,7 @@
     pub name: String,
     /// Lower case, without a port.
     pub host: String,
-    /// Begins and ends with a slash.
+    /// Path prefix that begins and ends with a slash.
     pub prefix: String,
     pub kind: CallKind,
     /// True when a stream may resume at another server.
@@ -53,8 +53,8 @@
     pub priority: u32,
     /// Maximum time that the operator allows a caller to wait.
     pub timeout: Option<Duration>,
-    /// Maximum time to the response, or to a stream's first event, at which a request still counts
-    /// in full.
+    /// The latency target: the maximum time to the response, or to a stream's first event, at which
+    /// a request still counts in full.
     pub target_latency: Option<Duration>,
     /// Maximum gap between two events of a stream that is still within the target.
     pub target_gap: Option<Duration>,
--- a/crates/gateway/src/model/server_entry.rs
+++ b/crates/gateway/src/model/server_entry.rs
@@ -40,13 +40,13 @@
 }
 
 impl ServerEntry {
-    /// Returns the incarnation, which identifies one start of one server.
+    /// Returns the digest that identifies this incarnation of the server.
     pub fn incarnation(&self) -> ServerIncarnation {
         server_incarnation(&self.server, self.started_at)
     }
 }
 
-/// Returns the incarnation of `server` that started at `started_at`.
+/// Returns the digest of the incarnation of `server` that started at `started_at`.
 pub fn server_incarnation(server: &str, started_at: Option<SystemTime>) -> ServerIncarnation {
     let since_epoch = started_at.and_then(|at| at.duration_since(SystemTime::UNIX_EPOCH).ok());
     let seed = since_epoch.map_or(0, |since| since.as_millis() as u64);
--- a/crates/gateway/src/peers/config_transfer.rs
+++ b/crates/gateway/src/peers/config_transfer.rs
@@ -22,13 +22,13 @@
 
 /// How long to wait for the local read of the store before fetching from a peer.
 const STORE_READ_DELAY: Duration = Duration::from_millis(250);
-/// Time limit for the transfer of one copy.
+/// Time limit for the transfer of one snapshot.
 const TRANSFER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Delay before the next attempt after a failed fetch.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Delay after a failed accept.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Maximum size of a fetched copy, in bytes.
+/// Maximum size of a fetched snapshot, in bytes.
 const MAX_SNAPSHOT_BYTES: u64 = 4 * 1024 * 1024;
 
 /// Sends the configuration in force to each gateway that connects, until the process stops.
@@ -54,12 +54,12 @@
         stream.write_all(&bytes).await?;
         stream.close().await
     };
-    // After an error the peer sees a truncated copy and asks again.
+    // After an error the peer receives a truncated snapshot and fetches it again.
     let _ = with_deadline(Instant::now() + TRANSFER_TIMEOUT, write).await;
 }
 
-/// Fetches newer configurations from peers when the store does not show them in time, until the
-/// process stops.
+/// Fetches a newer configuration from a peer if the local read of the store has not returned it in
+/// time. Runs until the process stops.
 pub async fn fetch_newer_configs(state: Arc<GatewayState>) {
     loop {
         state.config_read_requested.listen().await;
--- a/crates/gateway/src/peers/mod.rs
+++ b/crates/gateway/src/peers/mod.rs
@@ -1,6 +1,6 @@
 //! Load reports between gateways, over UDP.
 //!
-//! Each gateway reports its own load at each server to its peers, so that a server's whole load is
+//! Each gateway reports its own load at each server to its peers, so that a server's total load is
 //! known within a tenth of a second, or about as soon as the network carries it. Reports carry
 //! absolute counts, so the next report makes up for a lost one.
 //!
--- a/crates/gateway/src/peers/peer_registry.rs
+++ b/crates/gateway/src/peers/peer_registry.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the addresses of all gateways except `local`, grouped by whether they are in its
-    /// shard, one of `shards`.
+    /// shard. `shards` is the number of shards.
     pub fn groups(&self, local: &str, shards: u64) -> PeerGroups {
         if shards == 1 {
             return PeerGroups { local_shard: self.addresses_except(local), remote: Vec::new() };
--- a/crates/gateway/src/peers/remote_peer_cycle.rs
+++ b/crates/gateway/src/peers/remote_peer_cycle.rs
@@ -8,7 +8,7 @@
 /// per interval and no link carries all reports at once.
 #[derive(Debug)]
 pub struct RemotePeerCycle {
-    /// The last gateway that was selected.
+    /// The gateway selected last.
     last: Option<SocketAddr>,
     sent_at: Instant,
 }
@@ -19,8 +19,8 @@
         RemotePeerCycle { last: None, sent_at: now }
     }
 
-    /// Returns the gateways that get a report now, of `remote`, which is sorted. All of them get
-    /// one within `interval`.
+    /// Returns which gateways of `remote`, which is sorted, get a report now. Each gets one per
+    /// `interval`.
     pub fn next(
         &mut self,
         remote: &[SocketAddr],
--- a/crates/gateway/src/peers/report_loop.rs
+++ b/crates/gateway/src/peers/report_loop.rs
@@ -93,7 +93,7 @@
     }
 }
 
-/// Returns `report` for gateways of other shards, without what only concerns its own shard.
+/// Returns `report` for gateways of other shards, without what concerns only the local shard.
 pub fn remote_report(report: &LoadReport, state: &GatewayState) -> LoadReport {
     let now = Instant::now();
     // Each call to `fleet()` needs its own statement: its temporary lock guard is held until the
--- a/crates/gateway/src/peers/row_sender.rs
+++ b/crates/gateway/src/peers/row_sender.rs
@@ -25,7 +25,7 @@
                 let _ = socket.send_to(&datagram, address).await;
             }
         }
-        // Sends a report, so that peers can compare their content with this gateway's.
+        // Sends a report, whose fingerprint lets peers compare their content with this gateway's.
         state.report_requested.notify(1);
     }
 }
--- a/crates/gateway/src/service_queues.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -1,5 +1,4 @@
-//! Per-service demand of callers: admission queues, estimates of responses and streams, and typical
-//! timeouts.
+//! Admission queues and estimates of each service, and typical timeouts of each route's callers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,7 +15,7 @@
 use crate::cluster::server_digest;
 use crate::model::ServiceName;
 
-/// Callers' demand as seen by this gateway.
+/// This gateway's admission queues and its estimates from the requests that it forwards.
 ///
 /// Lock order: no two of these locks are held at the same time.
 #[derive(Debug, Default)]
@@ -79,7 +78,7 @@
         change(first_event_times.entry(service.clone()).or_default())
     }
 
-    /// Returns this gateway's local estimates for `service`.
+    /// Returns the estimates for `service` from local streams only.
     pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
         EngineEstimates {
             outputs: self.with_output_estimate(service, |output_estimate| *output_estimate),
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -37,7 +37,8 @@
 
 /// Fraction of the configuration's bound for which its feed waits at the store. Together with the
 /// call's margin and a new connection, a connection that has become silent hides a change for less
-/// than the bound. Where many gateways report to each other what is in force, they wait longer.
+/// than the bound. Gateways that read the table for each other wait half as long, or rely on their
+/// peers' reads.
 const CONFIG_WAIT_FRACTION: f64 = 0.5;
 /// Fraction of the drain bound between two reads of the servers. They change continually, and the
 /// interval batches their changes. A draining server is known within the bound even if a call is
@@ -46,15 +47,15 @@
 /// Fraction of the drain bound for which the servers' feed waits at the store.
 const SERVER_WAIT_FRACTION: f64 = 0.35;
 /// Interval between two reads of the registered gateways. A gateway that registers later has read
-/// this one's row and reports to it, which makes it known immediately. A gateway that missed both
-/// the row and the reports of another finds it with the next read.
+/// this one's row and reports to it, so that this one knows it immediately. A gateway that missed
+/// both the row and the reports of another one finds its row with the next read.
 const MEMBER_READ_INTERVAL: Duration = Duration::from_secs(30);
-/// Interval between two reads of the configuration. Configurations may follow each other quickly;
-/// they are read one by one.
+/// Interval between two reads of the configuration: short, since configurations may follow each
+/// other quickly and are read one by one.
 const CONFIG_READ_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for which the feed of quarantined requests waits at the store, twice as long as where
-/// gateways read it for their peers: its rows change rarely, and the feed reports changes
-/// immediately.
+/// Time for which the feed of quarantined requests waits at the store: its rows change rarely, and
+/// the feed reports changes immediately. Gateways that read the table for each other wait half as
+/// long.
 const QUARANTINE_WAIT: Duration = Duration::from_secs(8);
 /// Interval between two reads of the quarantined requests, so that several simultaneous changes
 /// cost one call.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -63,9 +63,10 @@
     pub new_peers: Mutex<Vec<u64>>,
     /// Notified when the configuration should be read from the store immediately.
     pub config_read_requested: Event,
-    /// Notified when a server may have capacity again, or more has become known.
+    /// Notified when requests that wait should check again: a server may have capacity, or the
+    /// configuration, the fleet, the quarantined requests or the peers' reports have changed.
     pub capacity_changed: Event,
-    /// Store tables that gateways read for their peers.
+    /// Store tables that gateways read for each other.
     pub shared_tables: SharedTables,
     /// Requests that are quarantined because servers crash while executing them.
     pub quarantines: Quarantines,
@@ -86,7 +87,8 @@
 /// Maximum time after its start that a process waits for the quarantined requests; reading them
 /// takes about 20 ms.
 const QUARANTINE_READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// Number of gateways assumed until the members table is read: cautious for most sites.
+/// Number of gateways assumed until the members table is read. The more gateways, the smaller each
+/// one's share of the retry budget: this number is cautious for most sites.
 const INITIAL_MEMBERS: usize = 8;
 
 impl GatewayState {
@@ -141,8 +143,8 @@
         self.retries.lock().expect("retries lock").record_request(service, Instant::now());
     }
 
-    /// Counts an attempt that a server of `service` rejected and for which the retry budget was not
-    /// consulted.
+    /// Counts a retry to `service` that did not consume budget: a prompt's first attempt, which its
+    /// server received but did not complete.
     pub fn record_retry(&self, service: &ServiceName) {
         self.retries.lock().expect("retries lock").record_retry(service, Instant::now());
     }
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Logs changes among the servers, and drops the pooled connections of those that are leaving,
+    /// Logs changes among the servers, and drops the pooled connections of those that are draining,
     /// removed or restarted.
     pub fn log_changes(&self, changes: &[FleetChange], version: u64) {
         for change in changes {
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -18,7 +18,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Puts each newer configuration in force. Rows that are not understood are logged and ignored.
+/// Puts each newer configuration in force. Rows that can't be decoded are logged and ignored.
 #[derive(Debug)]
 pub struct ConfigSink<C> {
     state: Arc<GatewayState>,
@@ -47,7 +47,7 @@
                 event = events::CONFIG_IGNORED,
                 row_version = row.version,
                 %error,
-                "configuration not understood; keeping the one in force"
+                "cannot decode the configuration; keeping the one in force"
             ),
         }
     }
--- a/crates/gateway/src/store/mod.rs
+++ b/crates/gateway/src/store/mod.rs
@@ -1,5 +1,5 @@
 //! Reads the platform's store: the configuration, the servers, the quarantined requests and the
-//! other gateways.
+//! registered gateways.
 
 mod config_sink;
 mod member_sink;
--- a/crates/gateway/src/store/shared_table.rs
+++ b/crates/gateway/src/store/shared_table.rs
@@ -1,4 +1,4 @@
-//! A table of the store that a few gateways read for all.
+//! A table of the store that a few gateways read for their peers.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -14,17 +14,19 @@
 use crate::timing::boottime_clock;
 
 /// Maximum number of rows from peers that wait to be applied. Further rows are dropped: so many
-/// amount to a whole table, which is read from the store.
+/// amount to a full table, which is read from the store instead.
 const MAX_PEER_ROWS: usize = 512;
 
 /// Notice in a gateway's report about a table that it reads for its peers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct TableReadNotice {
     pub table: StoreTable,
+    /// Fingerprint of the sender's content of the table.
     pub fingerprint: u64,
     /// Milliseconds since the store responded, by a clock that counts while the instance is
     /// suspended: a reader that was suspended must not look fresh.
     pub age_ms: u64,
+    /// True if reading the table takes much of the sender's link.
     pub is_heavy: bool,
 }
 
@@ -58,7 +60,8 @@
         self.readers.lock().expect("table readers lock")
     }
 
-    /// Records that the store responded to a local read.
+    /// Records that the store responded to a local read, after which the content held here has
+    /// `fingerprint`.
     pub fn record_read(&self, fingerprint: u64) {
         *self.last_read.lock().expect("read time lock") = boottime_clock();
         self.readers().record_read(fingerprint, Instant::now());
@@ -81,7 +84,7 @@
     pub fn receive_rows(&self, rows: Vec<StoreRow>) {
         let mut peer_rows = self.peer_rows.lock().expect("peer rows lock");
         peer_rows.extend(rows);
-        // If rows are dropped, the fingerprints differ and the store is read.
+        // If rows are dropped, the fingerprint differs from the peers' and the store is read.
         peer_rows.truncate(MAX_PEER_ROWS);
         drop(peer_rows);
         self.rows_received.notify(usize::MAX);
--- a/crates/gateway/src/store/shared_tables.rs
+++ b/crates/gateway/src/store/shared_tables.rs
@@ -16,7 +16,7 @@
 use crate::peers::TableRows;
 
 /// Time within which a gateway that receives no reports knows of quarantined requests. Gateways
-/// that receive each other's reports know by the failed attempts reported there.
+/// that receive each other's reports detect them by the failed attempts reported there.
 const QUARANTINE_MAX_DELAY: Duration = Duration::from_secs(10);
 /// Maximum number of reads whose changed rows wait to be sent to the peers.
 const OUTGOING_ROWS_CAPACITY: usize = 16;
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -20,9 +20,9 @@
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 
-/// Timeout of a call that the store responds to at once. A response usually takes 4 ms; a store
-/// that is merely slow (some 50 times that) is still waited for, one that does not respond is
-/// called again.
+/// Timeout of a call that the store responds to at once. A response usually takes 4 ms. The timeout
+/// allows for a slow store, which takes some 50 times as long; if there is no response by then, the
+/// store is called again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long the response to a feed call may take beyond the requested wait.
 const FEED_EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
@@ -136,7 +136,7 @@
         C::written_version(&response.body).context(DecodeSnafu).map(Some)
     }
 
-    /// Returns the rows of `table` at one point in time, for tables of a few rows.
+    /// Returns the rows of `table` at one point in time. They must fit on one page of the listing.
     pub async fn read_small_table(&mut self, table: StoreTable) -> Result<RowBatch, StoreError> {
         self.read("store look", &C::list_path(table, None), CALL_TIMEOUT).await
     }
--- a/crates/gateway/src/store/table_coordinator.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -21,7 +21,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Reading that takes more than this fraction of this gateway's link is left to its peers.
+/// A table whose reading takes more than this fraction of this gateway's link is left to its peers.
 const HEAVY_LINK_FRACTION: f64 = 0.1;
 /// Time after its first read for which a gateway sends no rows to its peers.
 ///
@@ -109,15 +109,15 @@
         rows
     }
 
-    /// Records changes that the store returned, and sends those with new content to the peers.
+    /// Records changes that the store returned, and sends peers the rows whose content is new.
     pub fn record_changes(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
         let is_update = |row: &&StoreRow| record_row(&mut self.row_set, sink, row);
         let updates: Vec<StoreRow> = rows.iter().filter(is_update).cloned().collect();
         self.record_read(updates);
     }
 
-    /// Records the whole table as of `version`, and sends removed rows to the peers. Peers that
-    /// lack changed rows see this by the fingerprint, and read the store.
+    /// Records the full table as of `version`, and sends removed rows to the peers. Peers that lack
+    /// changed rows detect this by the fingerprint, and read the store.
     pub fn record_listing(
         &mut self,
         rows: &[StoreRow],
@@ -131,7 +131,7 @@
         self.record_read(removed_keys.into_iter().map(removed).collect());
     }
 
-    /// Records that each `interval` a read of `bytes` loads this gateway's link.
+    /// Records that this gateway's link is loaded by a read of `bytes` in each `interval`.
     pub fn record_size(&self, bytes: usize, interval: Duration) {
         let Some(link) = self.state.settings.link_bytes_per_s else { return };
         let bytes_per_s =
@@ -180,6 +180,7 @@
     }
 }
 
+/// Records `row` in `row_set`. Returns true if its content is new.
 fn record_row(row_set: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
     row_set.record(&row.key, row.version, sink.digest(row))
 }
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -35,7 +35,7 @@
 
 /// Receives the rows of a table.
 pub trait TableSink: Send + 'static {
-    /// Applies the whole table as of `version`.
+    /// Applies the full table as of `version`.
     fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion);
     /// Applies changes in their order.
     fn apply_changes(&mut self, rows: Vec<StoreRow>);
@@ -60,10 +60,10 @@
     pub table: StoreTable,
     pub sink: S,
     /// How long a feed call waits at the store. Bounds the time for which a silent connection goes
-    /// unnoticed: it is detected shortly after this time, and a new one works.
+    /// unnoticed: it is detected shortly after this time, and replaced by a new one.
     pub feed_wait: Duration,
-    /// Minimum interval between calls: tables that change all the time are read in batches, which
-    /// saves calls and costs at most this delay.
+    /// Minimum interval between calls: the changes of tables that change all the time are read in
+    /// batches, which saves calls and costs at most this delay.
     pub min_interval: Duration,
     /// Set for tables that gateways read for each other.
     pub coordinator: Option<TableCoordinator>,
@@ -117,7 +117,7 @@
                         coordinator.record_failure();
                     }
                     smol::Timer::after(retry_delay(failures)).await;
-                    // After an outage the whole table is read: the feed would not report entries
+                    // After an outage the full table is read: the feed would not report entries
                     // that expired during the outage.
                     if failures > 1 {
                         position = None;
@@ -227,8 +227,8 @@
         self.halved_if_shared(self.min_interval)
     }
 
-    /// Returns half of `time` if gateways read this table for each other: what the peers of a
-    /// reader know is older by a report.
+    /// Returns half of `time` if gateways read this table for each other: the content at a reader's
+    /// peers is older than at the reader, by the time until its next report.
     fn halved_if_shared(&self, time: Duration) -> Duration {
         let is_shared = self.coordinator.as_ref().is_some_and(TableCoordinator::is_shared);
         if is_shared { time / 2 } else { time }
--- a/crates/gateway/src/store/unreadable_row.rs
+++ b/crates/gateway/src/store/unreadable_row.rs
@@ -14,6 +14,6 @@
         key = %row.key,
         version = row.version,
         error = problem,
-        "row not understood"
+        "cannot decode a row of the store"
     );
 }
