--- a/crates/gateway/src/peers/report.rs
+++ b/crates/gateway/src/peers/report.rs
@@ -33,7 +33,7 @@
     pub loads: Vec<(u64, LoadShare)>,
     /// Requests and retries in the last window, by service digest.
     pub retries: Vec<(u64, RetryCount)>,
-    /// Servers that this gateway has ejected after failures of its own requests.
+    /// Servers that this gateway has ejected after failures of local requests.
     pub aside: Vec<u64>,
     /// Requests queued for engine capacity, by service digest.
     pub lines: Vec<(u64, QueueUpdate)>,
--- a/crates/gateway/src/store/member_sink.rs
+++ b/crates/gateway/src/store/member_sink.rs
@@ -40,19 +40,19 @@
     fn apply_row(&self, row: &StoreRow) {
         match &row.value {
             RowValue::Removed => self.registry.remove(&row.key),
-            RowValue::Unreadable(problem) => self.ignore(row, problem),
+            RowValue::Unreadable(problem) => self.remove_unreadable(row, problem),
             RowValue::Held(value) => match postcard::from_bytes::<MemberRow>(value) {
                 Ok(member) => {
                     self.registry.insert(&row.key, member.address);
                 }
-                Err(error) => self.ignore(row, &error.to_string()),
+                Err(error) => self.remove_unreadable(row, &error.to_string()),
             },
         }
     }
 
     /// Logs a row that can't be decoded and removes its gateway: the row names no address for
     /// reports.
-    fn ignore(&self, row: &StoreRow, problem: &str) {
+    fn remove_unreadable(&self, row: &StoreRow, problem: &str) {
         log_unreadable(StoreTable::Members, row, problem);
         self.registry.remove(&row.key);
     }
