--- a/crates/gateway/src/codec.rs
+++ b/crates/gateway/src/codec.rs
@@ -27,8 +27,10 @@
     pub problem: String,
 }
 
-/// Translates the names, formats and calls of a platform, without decisions or state. Implemented
-/// by the `platform/` package; a generic parameter, so that the request path needs no `dyn`.
+/// Translates the names, formats and calls of a platform, without decisions or state.
+///
+/// The `platform/` package implements it. The gateway takes the implementation as a generic
+/// parameter, so that the request path needs no `dyn`.
 pub trait PlatformCodec: Send + Sync + 'static {
     /// Path at which the load balancer checks whether this instance accepts requests.
     const READY_PATH: &'static str;
@@ -40,8 +42,8 @@
 
     /// Returns the headers with which a caller's request is sent to a server: the caller's, without
     /// hop-by-hop headers and those that only the gateway may set, plus those that follow from
-    /// `order`.
-    fn upstream_headers(headers: &HeaderMap, order: &AttemptSpec) -> HeaderMap;
+    /// `attempt`.
+    fn upstream_headers(headers: &HeaderMap, attempt: &AttemptSpec) -> HeaderMap;
 
     /// Sets the headers that identify the caller to servers, whatever the caller sent in them, and
     /// removes its key if organisations hold keys.
--- a/crates/gateway/src/leader/stage_controller.rs
+++ b/crates/gateway/src/leader/stage_controller.rs
@@ -1,4 +1,5 @@
-//! Polls the prefill and decode pools and, if this gateway is the one to act, changes their sizes.
+//! Polls the prefill and decode pools, and changes their sizes if this gateway claims the
+//! leadership.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -32,7 +33,7 @@
 
 /// Interval at which the pools are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a gateway must have read the store before it acts for all.
+/// How long a gateway must have read the store without an outage before it may act as the leader.
 const MIN_STABLE_DURATION: Duration = Duration::from_secs(2);
 /// Time after sending the claim in which orders may be sent, by a clock that also counts the time
 /// for which the instance was suspended.
@@ -68,7 +69,7 @@
     spec: &EngineSpec,
     now: Instant,
 ) -> StageSnapshot {
-    let local_queued = state.service_queues.with_queue(service, |line| line.len());
+    let local_queued = state.service_queues.with_queue(service, |queue| queue.len());
     let queued = local_queued + state.peer_queues(service).waiting as usize;
     let snapshot = stage_snapshot(&state.fleet(), service, queued, now);
     let target_prefill =
@@ -114,7 +115,7 @@
         let result = send_order::<C>(state, &target, change.to, fence, is_within_window).await;
         if result.is_ok() {
             state.fleet().begin_stage_change(&server, change.to, Instant::now());
-            state.report_due.notify(1);
+            state.report_requested.notify(1);
         }
         metrics::counter!("umberglade_orders_total").increment(1);
         tracing::info!(
--- a/crates/gateway/src/service_queues.rs
+++ b/crates/gateway/src/service_queues.rs
@@ -1,5 +1,4 @@
-//! Per-service demand of callers: admission queues, estimates of responses and streams, and typical
-//! timeouts.
+//! Admission queues and estimates of each service, and typical timeouts of each route's callers.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -16,7 +15,7 @@
 use crate::cluster::name_digest;
 use crate::model::ServiceName;
 
-/// Callers' demand as seen by this gateway.
+/// This gateway's admission queues and its estimates from the requests that it forwards.
 ///
 /// Lock order: no two of these locks are held at the same time.
 #[derive(Debug, Default)]
@@ -79,12 +78,12 @@
         change(first_event_times.entry(service.clone()).or_default())
     }
 
-    /// Returns this gateway's local estimates for `service`.
+    /// Returns the estimates for `service` from local streams only.
     pub fn estimates(&self, service: &ServiceName) -> EngineEstimates {
         EngineEstimates {
-            outputs: self.with_output_estimate(service, |outputs| *outputs),
+            outputs: self.with_output_estimate(service, |output_estimate| *output_estimate),
             balance: self.with_stage_balance(service, |balance| *balance),
-            opening: self.with_first_event_time(service, |opening| *opening),
+            opening: self.with_first_event_time(service, |first_event_time| *first_event_time),
         }
     }
 
@@ -94,7 +93,7 @@
         let Some(timeout) = timeout else { return Duration::ZERO };
         let mut typical_timeouts = self.typical_timeouts.lock().expect("typical timeouts lock");
         match typical_timeouts.get_mut(route) {
-            Some(known) => known.record(timeout),
+            Some(typical_timeout) => typical_timeout.record(timeout),
             None => typical_timeouts.entry(route.to_owned()).or_default().record(timeout),
         }
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -57,16 +57,17 @@
     pub service_queues: ServiceQueues,
     /// Notified when the peers are to receive a report immediately, as when streams start, end or
     /// queue.
-    pub report_due: Event,
+    pub report_requested: Event,
     /// Digests of peers that have just started or from which reports have just started to arrive.
     /// Unless empty, the next report includes what most reports omit.
     pub new_peers: Mutex<Vec<u64>>,
     /// Notified when the configuration should be read from the store immediately.
-    pub config_due: Event,
-    /// Notified when a server may have capacity again, or more has become known.
+    pub config_read_requested: Event,
+    /// Notified when requests that wait should check again: a server may have capacity, or the
+    /// configuration, the fleet, the quarantined requests or the peers' reports have changed.
     pub capacity_changed: Event,
-    /// Store tables that gateways read for their peers.
-    pub readings: SharedTables,
+    /// Store tables that gateways read for each other.
+    pub shared_tables: SharedTables,
     /// Requests that are quarantined because servers crash while executing them.
     pub quarantines: Quarantines,
     /// Remaining quotas of organisations.
@@ -86,7 +87,8 @@
 /// Maximum time after its start that a process waits for the quarantined requests; reading them
 /// takes about 20 ms.
 const QUARANTINE_READ_TIMEOUT: Duration = Duration::from_millis(400);
-/// Number of gateways assumed until the members table is read: cautious for most sites.
+/// Number of gateways assumed until the members table is read. The more gateways, the smaller each
+/// one's share of the retry budget: this number is cautious for most sites.
 const INITIAL_MEMBERS: usize = 8;
 
 impl GatewayState {
@@ -102,16 +104,16 @@
         let digest = name_digest(&settings.instance);
         Arc::new(GatewayState {
             digest,
-            readings: SharedTables::new(digest, &settings),
+            shared_tables: SharedTables::new(digest, &settings),
             settings,
             metrics,
             pool: ConnectionPool::default(),
             stop: StopSignal::default(),
             in_flight: InFlightCount::default(),
             service_queues: ServiceQueues::default(),
-            report_due: Event::new(),
+            report_requested: Event::new(),
             new_peers: Mutex::default(),
-            config_due: Event::new(),
+            config_read_requested: Event::new(),
             capacity_changed: Event::new(),
             quarantines: Quarantines::new(started_at),
             quotas: Quotas::new(started_at),
@@ -141,8 +143,8 @@
         self.retries.lock().expect("retries lock").record_request(service, Instant::now());
     }
 
-    /// Counts an attempt that a server of `service` rejected and for which the retry budget was not
-    /// consulted.
+    /// Counts a retry to `service` that did not consume budget: a prompt's first attempt, which its
+    /// server received but did not complete.
     pub fn record_retry(&self, service: &ServiceName) {
         self.retries.lock().expect("retries lock").record_retry(service, Instant::now());
     }
@@ -185,7 +187,7 @@
         }
     }
 
-    /// Logs changes among the servers, and drops the pooled connections of those that are leaving,
+    /// Logs changes among the servers, and drops the pooled connections of those that are draining,
     /// removed or restarted.
     pub fn log_changes(&self, changes: &[FleetChange], version: u64) {
         for change in changes {
@@ -272,7 +274,7 @@
         if self.quarantines.record_completion(fingerprint, target) {
             self.capacity_changed.notify(usize::MAX);
             // Peers quarantine the request until they receive the report.
-            self.report_due.notify(1);
+            self.report_requested.notify(1);
         }
     }
 
@@ -288,7 +290,7 @@
         if self.quarantines.record_crash(request_id, fingerprint, target, run_duration) {
             self.capacity_changed.notify(usize::MAX);
         }
-        self.report_due.notify(1);
+        self.report_requested.notify(1);
     }
 
     fn is_initialized(&self) -> bool {
