--- a/crates/gateway/src/forward/admit.rs
+++ b/crates/gateway/src/forward/admit.rs
@@ -85,7 +85,7 @@
     quarantine.until_probe.max(MIN_RETRY_AFTER)
 }
 
-/// Logs why `call` is quarantined after `sends` attempts, or sent as a probe.
+/// Logs that `call`, after `sends` attempts, is rejected as quarantined or sent as a probe.
 pub(super) fn log_quarantined(
     call: &Call,
     quarantine: QuarantineStatus,
@@ -105,6 +105,6 @@
         left_ms = quarantine.until_probe.as_millis() as u64,
         sends,
         outcome,
-        "quarantined: servers crash while they run this request"
+        "quarantined: servers crash while they run such requests"
     );
 }
--- a/crates/gateway/src/forward/send_permit.rs
+++ b/crates/gateway/src/forward/attempt_permit.rs
@@ -20,31 +20,31 @@
 /// sent without one.
 ///
 /// Prevents uncounted retries on any path that sends a request (first attempts, hedges,
-/// resumed streams, prefills and repeated prefills). A path that neither checks nor counts
+/// resumed streams, prefills and retried prefills). A path that neither checks nor counts
 /// exceeds the retry limit under overload, for example by 229 queued prefills that time out and
 /// are sent to other servers. An attempt that is not settled counts as a retry.
 ///
 /// [`Attempts`]: super::attempts::Attempts
 #[derive(Debug)]
-pub struct SendPermit {
+pub struct AttemptPermit {
     state: Arc<GatewayState>,
     service: ServiceName,
     pending_count: PendingCount,
 }
 
-impl SendPermit {
+impl AttemptPermit {
     /// Returns a permit for a first attempt, or for one that has consumed retry budget.
     pub(super) fn settled(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
-        SendPermit::new(state, service, PendingCount::Settled)
+        AttemptPermit::new(state, service, PendingCount::Settled)
     }
 
     /// Returns a permit for the first prefill of a request.
     pub(super) fn first_prefill(state: &Arc<GatewayState>, service: &ServiceName) -> Self {
-        SendPermit::new(state, service, PendingCount::FirstPrefill)
+        AttemptPermit::new(state, service, PendingCount::FirstPrefill)
     }
 
     fn new(state: &Arc<GatewayState>, service: &ServiceName, pending_count: PendingCount) -> Self {
-        SendPermit { state: Arc::clone(state), service: service.clone(), pending_count }
+        AttemptPermit { state: Arc::clone(state), service: service.clone(), pending_count }
     }
 
     /// Settles the permit: the server completed the attempt or never received it.
@@ -53,7 +53,7 @@
     }
 }
 
-impl Drop for SendPermit {
+impl Drop for AttemptPermit {
     fn drop(&mut self) {
         if self.pending_count == PendingCount::FirstPrefill {
             self.state.record_retry(&self.service);
--- a/crates/gateway/src/forward/attempts.rs
+++ b/crates/gateway/src/forward/attempts.rs
@@ -7,21 +7,20 @@
 use super::Call;
 use super::admit::log_quarantined;
 use super::admit::wait_for_probe;
+use super::attempt_permit::AttemptPermit;
 use super::probe_guard::ProbeGuard;
-use super::send_permit::SendPermit;
 use crate::cluster::QuarantineStatus;
 use crate::cluster::RetryPriority;
 use crate::events;
 use crate::model::ServerKey;
 use crate::state::GatewayState;
 
-/// Maximum number of attempts beyond the route's limit for servers that did not run the
-/// request. They do not count against that limit, but each still loads the service with
-/// an arrival.
+/// Maximum number of attempts beyond the route's limit, as attempts that the server did not run
+/// do not count against that limit. Each still adds an arrival to the load of the service.
 const MAX_NOT_RUN_RETRIES: u32 = 2;
 
-/// Maximum number of further attempts for those that reached no server. These cost only the
-/// time of a refused connection.
+/// Maximum number of further attempts, one for each attempt that reached no server. Such an
+/// attempt costs only the time of a refused connection.
 const MAX_UNSENT_RETRIES: u32 = 3;
 
 /// The attempts of one request so far.
@@ -48,8 +47,9 @@
 
     /// Returns the quarantine of `call`; `None` for the only attempt of a probe.
     ///
-    /// Prevents further attempts of a request whose fingerprint is quarantined while it is
-    /// queued, retried, resumed at another server or hedged. Every attempt checks this first.
+    /// Every attempt checks this first. Prevents further attempts of a request whose fingerprint
+    /// becomes quarantined after its admission: while it is queued, retried, resumed at another
+    /// server or hedged.
     pub fn quarantine_status(&self, state: &GatewayState, call: &Call) -> Option<QuarantineStatus> {
         if self.probe.is_some() && self.count == 0 {
             return None;
@@ -57,8 +57,8 @@
         state.quarantines.status(call.fingerprint)
     }
 
-    /// Waits while the quarantine of `call` is undecided, since probes have yet to tell its
-    /// fingerprint from others, and its caller has time left.
+    /// Waits while the quarantine of `call` is provisional, because probes have yet to show whether
+    /// its fingerprint or another causes the crashes, and while its caller has time left.
     ///
     /// Prevents rejections of popular requests that ran on a server which a poison request
     /// crashed before any response was complete.
@@ -82,8 +82,8 @@
     /// Returns a permit for another attempt if the route's limits allow it. Once an attempt
     /// has reached a server, this also consumes from the service's retry budget, which
     /// bounds the number of requests that arrive at servers.
-    pub fn permit(&self, state: &Arc<GatewayState>, call: &Call) -> Option<SendPermit> {
-        if !self.is_within_route(call) {
+    pub fn permit(&self, state: &Arc<GatewayState>, call: &Call) -> Option<AttemptPermit> {
+        if !self.is_within_route_limits(call) {
             return None;
         }
         if let Some(quarantine) = self.quarantine_status(state, call) {
@@ -102,24 +102,29 @@
             );
             return None;
         }
-        Some(SendPermit::settled(state, &call.service))
+        Some(AttemptPermit::settled(state, &call.service))
     }
 
     /// Returns a permit to prefill the prompt at a separate server. The first needs no retry
     /// budget; further ones are optional and need some. The prompt of a probe is prefilled
-    /// by the server that answers it.
-    pub fn permit_prefill(&mut self, state: &Arc<GatewayState>, call: &Call) -> Option<SendPermit> {
+    /// by the server that responds to it.
+    pub fn permit_prefill(
+        &mut self,
+        state: &Arc<GatewayState>,
+        call: &Call,
+    ) -> Option<AttemptPermit> {
         if self.probe.is_some() || self.quarantine_status(state, call).is_some() {
             return None;
         }
         if std::mem::replace(&mut self.has_sent_prefill, true) {
             let is_allowed = state.consume_retry(&call.service, RetryPriority::Helpful);
-            return is_allowed.then(|| SendPermit::settled(state, &call.service));
+            return is_allowed.then(|| AttemptPermit::settled(state, &call.service));
         }
-        Some(SendPermit::first_prefill(state, &call.service))
+        Some(AttemptPermit::first_prefill(state, &call.service))
     }
 
-    fn is_within_route(&self, call: &Call) -> bool {
+    /// Returns true when the route's limits allow another attempt.
+    fn is_within_route_limits(&self, call: &Call) -> bool {
         if self.count == 0 {
             return true;
         }
--- a/crates/gateway/src/forward/cache_guard.rs
+++ b/crates/gateway/src/forward/cache_guard.rs
@@ -24,7 +24,7 @@
 
 /// Releases the KV cache of a finished prefill when dropped, unless it is disarmed.
 ///
-/// Prevents engine memory from being held for nothing. When the caller disconnects between
+/// Prevents unused caches from occupying engine memory. When the caller disconnects between
 /// prefill and decode, or no decode server fetches the cache, the prefill server can free it
 /// at once instead of when the handle expires.
 #[derive(Debug)]
@@ -120,6 +120,6 @@
         request_id,
         server = %target.server,
         outcome,
-        "KV cache released"
+        "release of a KV cache"
     );
 }
--- a/crates/gateway/src/forward/call.rs
+++ b/crates/gateway/src/forward/call.rs
@@ -28,7 +28,8 @@
 pub struct Call {
     pub method: Method,
     pub uri: Uri,
-    /// The caller's headers, marked with the organisation and without the key.
+    /// The caller's headers after [`PlatformCodec::set_caller_headers`], which sets the
+    /// organisation and removes the key if organisations hold keys.
     pub headers: HeaderMap,
     pub body: Bytes,
     pub head: RequestHead,
@@ -43,7 +44,7 @@
     pub config: ConfigVersion,
     pub arrived: Instant,
     /// How long its caller has been retrying with earlier requests.
-    pub tried_for: Duration,
+    pub retrying_for: Duration,
     /// The caller's deadline or the operator's limit, whichever is earlier.
     pub deadline: Instant,
 }
@@ -59,8 +60,8 @@
         self.deadline.saturating_duration_since(now)
     }
 
-    /// Returns the token counts of its prompt and output, or the size of its body if it states
-    /// none.
+    /// Returns the token counts of the prompt and output. If the request states none, the size of
+    /// its body counts as the prompt's.
     pub fn prompt_shape(&self) -> PromptShape {
         self.head.prompt.unwrap_or(PromptShape {
             prompt_tokens: self.body.len() as u32,
@@ -85,12 +86,16 @@
         self.arrived.elapsed().as_millis() as u64
     }
 
-    /// Returns the request to forward by `order`, with unchanged method, path and body.
-    pub fn onward<C: PlatformCodec>(&self, order: &AttemptSpec) -> Request<Full<Bytes>> {
+    /// Returns the request that `attempt_spec` sends to a server, with unchanged method, path and
+    /// body.
+    pub fn upstream_request<C: PlatformCodec>(
+        &self,
+        attempt_spec: &AttemptSpec,
+    ) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
-        *request.headers_mut() = C::upstream_headers(&self.headers, order);
+        *request.headers_mut() = C::upstream_headers(&self.headers, attempt_spec);
         request
     }
 }
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -34,7 +34,7 @@
 use crate::state::GatewayState;
 use crate::timing::with_deadline;
 
-/// Time from the placement to the first event, used where the service's own estimate is not.
+/// Assumed time from the placement to the first event, where the service's estimate is not used.
 pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::DEFAULT;
 /// Poll interval of the head of the queue: a server may gain capacity without an event at
 /// this gateway.
@@ -84,13 +84,13 @@
 ) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
     let estimates = state.estimates(&call.service);
-    let run_time = estimates.outputs.generation_time(shape.expected_output());
+    let generation_time = estimates.outputs.generation_time(shape.expected_output());
     let queue_request = QueueRequest {
-        occupancy: kv_token_millis(shape, estimates.opening.p90() + run_time),
-        target_deadline: latest_on_time_start(call, &estimates.opening),
-        retrying_for: call.tried_for,
+        occupancy: kv_token_millis(shape, estimates.opening.p90() + generation_time),
+        target_deadline: latest_start_within_target(call, &estimates.opening),
+        retrying_for: call.retrying_for,
     };
-    let deadline = queue_deadline(call, run_time);
+    let deadline = queue_deadline(call, generation_time);
     let max_wait = deadline.saturating_duration_since(now);
     let peers = state.peer_queues(&call.service);
     let joined = state
@@ -138,8 +138,8 @@
                     ));
                 }
                 Err(PlacementError::NoRoom) if is_rate_limited_until(state, call, deadline) => {
-                    let after = next_send_after(state, call, now);
-                    return Err(reject_call(call, Rejection::RateLimited, after, 0));
+                    let retry_after = next_send_after(state, call, now);
+                    return Err(reject_call(call, Rejection::RateLimited, retry_after, 0));
                 }
                 Err(PlacementError::NoRoom) => {
                     state
@@ -153,9 +153,9 @@
             }
         }
         if now >= deadline {
-            let after = capacity_retry_after(state, call);
-            log_no_capacity(state, call, state.peer_queues(&call.service), after);
-            return Err(reject_call(call, Rejection::NoRoom, Some(after), 0));
+            let retry_after = capacity_retry_after(state, call);
+            log_no_capacity(state, call, state.peer_queues(&call.service), retry_after);
+            return Err(reject_call(call, Rejection::NoRoom, Some(retry_after), 0));
         }
         let poll_at = match earliest_placement {
             Some(at) if now < at => at,
@@ -167,13 +167,13 @@
     }
 }
 
-/// Returns when the head of the queue, which it has been since `since`, may be placed: at once
-/// while no peer has queued requests.
+/// Returns when a request that became the head of the queue at `since` may be placed: at `since`
+/// while no peer has queued requests, [`REPORT_PROPAGATION_DELAY`] later otherwise.
 ///
 /// Prevents gateways from competing for the last slot of an engine. At 250 requests per second
-/// a request looks for capacity every 4 ms, and each takes itself for the first of all queues
-/// until the reports of peers say otherwise. Without the delay, full engines reject a quarter
-/// of the requests that 79 gateways place in a burst, after a wasted prefill.
+/// a request checks for capacity every 4 ms, and each counts as the head of all queues until
+/// reports of peers show otherwise. Without the delay, full engines reject a quarter of the
+/// requests that 79 gateways place in a burst, after a wasted prefill.
 fn earliest_placement(state: &GatewayState, call: &Call, since: Instant) -> Instant {
     if state.peer_queues(&call.service).waiting == 0 {
         since
@@ -195,7 +195,7 @@
     state.service_queues.with_queue(&call.service, |queue| queue.retry_after(peers, Instant::now()))
 }
 
-/// Logs why a request finds no capacity.
+/// Logs that a request finds no capacity, with the load and the queues of its service.
 fn log_no_capacity(state: &GatewayState, call: &Call, peers: PeerQueues, predicted: Duration) {
     let waiting = state.service_queues.with_queue(&call.service, |queue| queue.len());
     let now = Instant::now();
@@ -229,28 +229,29 @@
     kv_tokens.saturating_mul(duration.as_millis() as u64)
 }
 
-/// Returns the latest start at which a response that takes `opening` to its first event is
-/// within its latency target.
+/// Returns the latest start at which a response that takes `first_event_time` to its first event
+/// is within its latency target.
 ///
 /// The target counts from the caller's first attempt. This prevents callers that retry after a
 /// rejection, and are past their target anyway, from taking capacity from requests that can
 /// still meet theirs.
-fn latest_on_time_start(call: &Call, opening: &FirstEventTime) -> Instant {
+fn latest_start_within_target(call: &Call, first_event_time: &FirstEventTime) -> Instant {
     let target = call.route.target_latency.unwrap_or(MIN_CALLER_TIMEOUT);
-    call.arrived + opening.max_placement_delay(target).saturating_sub(call.tried_for)
+    call.arrived + first_event_time.max_placement_delay(target).saturating_sub(call.retrying_for)
 }
 
 /// Returns when waiting in the queue ends, so that the first event arrives before the caller
-/// times out, and the complete response, which takes `run_time` from then on, before the
+/// times out, and the complete response, which takes `generation_time` from then on, before the
 /// deadline.
 ///
 /// Prevents responses from being cut at their deadline: a caller that retries after a rejection
 /// has little time left, and engines would work for seconds on responses that nobody receives.
-fn queue_deadline(call: &Call, run_time: Duration) -> Instant {
+fn queue_deadline(call: &Call, generation_time: Duration) -> Instant {
     let target = call.route.target_latency.unwrap_or_default();
     let gap = call.route.target_gap.unwrap_or_default();
-    let caller = MIN_CALLER_TIMEOUT.max(target * 4).max(gap * 8);
-    (call.arrived + caller).min(call.deadline - run_time) - DEFAULT_FIRST_EVENT_TIME * 2
+    let caller_timeout = MIN_CALLER_TIMEOUT.max(target * 4).max(gap * 8);
+    (call.arrived + caller_timeout).min(call.deadline - generation_time)
+        - DEFAULT_FIRST_EVENT_TIME * 2
 }
 
 fn try_place(
@@ -264,9 +265,10 @@
         let update =
             state.service_queues.with_queue(&call.service, |queue| queue.queue_update(now));
         let fleet = state.fleet();
-        let service = server_digest(&call.service);
-        let ahead = update.map_or(0, |update| fleet.peers.queued_ahead(service, &update, now));
-        place_engine(&fleet, spec, shape, ahead, &placement_request(state, call, &[]))?
+        let service_digest = server_digest(&call.service);
+        let queued_ahead =
+            update.map_or(0, |update| fleet.peers.queued_ahead(service_digest, &update, now));
+        place_engine(&fleet, spec, shape, queued_ahead, &placement_request(state, call, &[]))?
     };
     log_placed(state, call, &decode, prefill.as_ref(), 0, cost);
     let prefill = prefill
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -12,7 +12,7 @@
 use strum::Display;
 
 use super::Call;
-use super::send_permit::SendPermit;
+use super::attempt_permit::AttemptPermit;
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
@@ -28,12 +28,13 @@
 /// Why an attempt got no valid response from the server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
-pub enum SendFailure {
+pub enum AttemptFailure {
     /// The server never received the request.
     Unsent,
     /// The server states that it did not run it.
     NotRun,
-    /// Like [`SendFailure::NotRun`], since it is another server or has another stage.
+    /// Like [`AttemptFailure::NotRun`], since the server is not the intended one or has another
+    /// stage.
     Misdirected,
     /// No response arrived in time.
     Silent,
@@ -43,37 +44,40 @@
     Garbled,
 }
 
-impl SendFailure {
+impl AttemptFailure {
     /// Returns true when the server has certainly not run the request.
     pub fn is_not_run(self) -> bool {
-        matches!(self, SendFailure::Unsent | SendFailure::NotRun | SendFailure::Misdirected)
+        matches!(
+            self,
+            AttemptFailure::Unsent | AttemptFailure::NotRun | AttemptFailure::Misdirected
+        )
     }
 
     /// Returns what the failure means for the server's health.
     pub fn outcome(self) -> ServerOutcome {
         match self {
-            SendFailure::Unsent => ServerOutcome::Unreachable,
-            SendFailure::NotRun => ServerOutcome::Refused,
-            SendFailure::Misdirected => ServerOutcome::Misdirected,
-            SendFailure::Silent | SendFailure::Broken | SendFailure::Garbled => {
+            AttemptFailure::Unsent => ServerOutcome::Unreachable,
+            AttemptFailure::NotRun => ServerOutcome::Refused,
+            AttemptFailure::Misdirected => ServerOutcome::Misdirected,
+            AttemptFailure::Silent | AttemptFailure::Broken | AttemptFailure::Garbled => {
                 ServerOutcome::Failed
             }
         }
     }
 }
 
-/// A response with a valid head.
+/// A response with a valid head, whose body is not read yet.
 #[derive(Debug)]
-pub struct OpenReply {
+pub struct OpenResponse {
     pub response: Response<Incoming>,
     pub head: ResponseHead,
     pub connection: PooledConnection,
-    pub permit: SendPermit,
+    pub permit: AttemptPermit,
 }
 
-/// Returns the current address of `server` for a request that is sent at once, and takes a
-/// token of its rate limit. `None` when the server is unknown, is unavailable to new work, or
-/// has no token left.
+/// Returns the current address of `server` for a request that is sent at once, and consumes a
+/// token of its rate limit. `None` when the server is unknown or unavailable, or has no token
+/// left.
 ///
 /// A server that was chosen before the prefill may have announced its departure since, as a
 /// prefill takes seconds where prefill servers are slow or hang. Without this check, a stream
@@ -92,36 +96,37 @@
     fleet.take_send_token(target.incarnation, now).then_some(target)
 }
 
-/// Sends `call` by `order` and waits up to `timeout` for the response head.
+/// Sends `call` as `attempt_spec` states and waits up to `timeout` for the response head.
 pub async fn exchange<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
-    order: &AttemptSpec,
-    permit: SendPermit,
+    attempt_spec: &AttemptSpec,
+    permit: AttemptPermit,
     timeout: Duration,
-) -> Result<OpenReply, SendFailure> {
-    let request = call.onward::<C>(order);
+) -> Result<OpenResponse, AttemptFailure> {
+    let request = call.upstream_request::<C>(attempt_spec);
     let sent_at = Instant::now();
-    if order.purpose != AttemptPurpose::Prefill
+    if attempt_spec.purpose != AttemptPurpose::Prefill
         && let Some(charge) = &call.charge
     {
         charge.commit();
     }
     let sent = async {
         upstream::send(&state.pool, target, request).await.map_err(|error| {
-            let failure = if error.is_unsent() { SendFailure::Unsent } else { SendFailure::Broken };
+            let failure =
+                if error.is_unsent() { AttemptFailure::Unsent } else { AttemptFailure::Broken };
             (failure, error.to_string())
         })
     };
     let timed_out = async {
         smol::Timer::after(timeout).await;
-        Err((SendFailure::Silent, format!("no response within {} ms", timeout.as_millis())))
+        Err((AttemptFailure::Silent, format!("no response within {} ms", timeout.as_millis())))
     };
     let (response, connection) = match sent.or(timed_out).await {
         Ok(opened) => opened,
         Err((failure, problem)) => {
-            if failure == SendFailure::Unsent {
+            if failure == AttemptFailure::Unsent {
                 permit.settle();
             }
             return Err(record_failure(state, call, target, failure, &problem));
@@ -132,25 +137,26 @@
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().record_malformed(&target.server, Instant::now());
         let problem = format!("status {status}, response to {:?}", head.request_id);
-        return Err(record_failure(state, call, target, SendFailure::Garbled, &problem));
+        return Err(record_failure(state, call, target, AttemptFailure::Garbled, &problem));
     }
     let is_misdirected = status == http::StatusCode::MISDIRECTED_REQUEST;
     if !is_misdirected {
         state.record_flow_control(target, status, head.flow_control, sent_at);
     }
     if head.is_not_run || is_misdirected {
-        let failure = if is_misdirected { SendFailure::Misdirected } else { SendFailure::NotRun };
+        let failure =
+            if is_misdirected { AttemptFailure::Misdirected } else { AttemptFailure::NotRun };
         if !head.closes {
             state.pool.put(target, connection, head.keep_alive, Instant::now());
         }
         return Err(record_failure(state, call, target, failure, &format!("status {status}")));
     }
     // Servers sign only responses for callers; a prefill server's is for the gateway.
-    let needs_signature = order.purpose != AttemptPurpose::Prefill;
+    let needs_signature = attempt_spec.purpose != AttemptPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
-        return Err(record_failure(state, call, target, SendFailure::Garbled, "not signed"));
+        return Err(record_failure(state, call, target, AttemptFailure::Garbled, "not signed"));
     }
-    Ok(OpenReply { response, head, connection, permit })
+    Ok(OpenResponse { response, head, connection, permit })
 }
 
 /// Returns true when the headers state where the body ends. A body that ends with its
@@ -165,9 +171,9 @@
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
-    failure: SendFailure,
+    failure: AttemptFailure,
     problem: &str,
-) -> SendFailure {
+) -> AttemptFailure {
     record_midstream_failure(state, call, target, failure, problem, Duration::ZERO)
 }
 
@@ -176,12 +182,12 @@
     state: &GatewayState,
     call: &Call,
     target: &SendTarget,
-    failure: SendFailure,
+    failure: AttemptFailure,
     problem: &str,
     run_duration: Duration,
-) -> SendFailure {
+) -> AttemptFailure {
     state.record_outcome(target, failure.outcome());
-    if failure == SendFailure::Broken {
+    if failure == AttemptFailure::Broken {
         state.record_crash(call.id(), call.fingerprint, target, run_duration);
     }
     let kind = failure.to_string();
--- a/crates/gateway/src/forward/mod.rs
+++ b/crates/gateway/src/forward/mod.rs
@@ -1,6 +1,7 @@
 //! Forwards one caller's request to servers and responds to it.
 
 mod admit;
+mod attempt_permit;
 mod attempts;
 mod cache_guard;
 mod call;
@@ -14,7 +15,6 @@
 mod reject;
 mod relay;
 mod response_body;
-mod send_permit;
 mod stream_open;
 mod stream_run;
 
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -12,15 +12,15 @@
 
 use super::Call;
 use super::GatewayBody;
+use super::attempt_permit::AttemptPermit;
 use super::attempts::Attempts;
 use super::capacity_wait::placement_request;
 use super::exchange;
-use super::exchange::OpenReply;
-use super::exchange::SendFailure;
+use super::exchange::AttemptFailure;
+use super::exchange::OpenResponse;
 use super::exchange::is_delimited;
-use super::reject::reject_unanswered;
+use super::reject::reject_failed;
 use super::response_body;
-use super::send_permit::SendPermit;
 use crate::cluster::LoadShare;
 use crate::cluster::ServerOutcome;
 use crate::cluster::place_plain;
@@ -39,34 +39,34 @@
 /// their capacity changes that fast.
 const RETRY_AFTER: Duration = Duration::from_millis(60);
 /// Fraction of the target latency after which an idempotent call is hedged: late enough that
-/// few calls are (they take a fifth of their target on average), early enough that the second
-/// server can still meet the target.
+/// few calls are hedged, as a call takes a fifth of its target on average, and early enough that
+/// the second server can still meet the target.
 const HEDGE_LATENCY_FRACTION: f64 = 0.6;
 /// Hedge delay of routes without a target latency.
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
 /// The outcome of one attempt.
-enum SendOutcome {
+enum AttemptOutcome {
     /// The server's complete response.
     Responded(Response<GatewayBody>),
-    Failed(SendFailure),
+    Failed(AttemptFailure),
 }
 
-impl SendOutcome {
+impl AttemptOutcome {
     fn is_final(&self, call: &Call) -> bool {
         match self {
-            SendOutcome::Responded(response) => {
+            AttemptOutcome::Responded(response) => {
                 !(call.route.is_repeatable() && response.status().is_server_error())
             }
-            SendOutcome::Failed(_) => false,
+            AttemptOutcome::Failed(_) => false,
         }
     }
 }
 
-/// What earlier attempts leave to respond with.
+/// What earlier attempts of a call mean for its response.
 #[derive(Default)]
 struct EarlierOutcomes {
-    /// A server's error response, which takes precedence over the gateway's own.
+    /// A server's error response, which the caller gets rather than a rejection by the gateway.
     error_response: Option<Response<GatewayBody>>,
     /// True when a server may have run the request.
     may_have_run: bool,
@@ -100,7 +100,7 @@
             }
         };
         if outcome.is_final(&call) {
-            let SendOutcome::Responded(response) = outcome else {
+            let AttemptOutcome::Responded(response) = outcome else {
                 unreachable!("only responses are final")
             };
             return complete(&call, response, &attempts);
@@ -111,16 +111,20 @@
 }
 
 /// Records an outcome that is not final.
-fn record_non_final(outcome: SendOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
+fn record_non_final(
+    outcome: AttemptOutcome,
+    attempts: &mut Attempts,
+    earlier: &mut EarlierOutcomes,
+) {
     match outcome {
-        SendOutcome::Responded(response) => {
+        AttemptOutcome::Responded(response) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
             earlier.error_response = Some(response);
         }
-        SendOutcome::Failed(SendFailure::Unsent) => attempts.record_unsent(),
-        SendOutcome::Failed(failure) if failure.is_not_run() => {}
-        SendOutcome::Failed(_) => {
+        AttemptOutcome::Failed(AttemptFailure::Unsent) => attempts.record_unsent(),
+        AttemptOutcome::Failed(failure) if failure.is_not_run() => {}
+        AttemptOutcome::Failed(_) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
         }
@@ -144,11 +148,11 @@
 async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
-    mut first: std::pin::Pin<&mut impl Future<Output = SendOutcome>>,
+    mut first: std::pin::Pin<&mut impl Future<Output = AttemptOutcome>>,
     after: Duration,
     attempts: &mut Attempts,
     earlier: &mut EarlierOutcomes,
-) -> Option<SendOutcome> {
+) -> Option<AttemptOutcome> {
     if let Some(outcome) = with_deadline(Instant::now() + after, first.as_mut()).await {
         return Some(outcome);
     }
@@ -183,48 +187,48 @@
 fn place_call(state: &GatewayState, call: &Call, attempts: &Attempts) -> Option<ServerKey> {
     let fleet = state.fleet();
     let request = placement_request(state, call, &attempts.tried);
-    let place = place_plain(&fleet, &request).ok()?;
-    let server_state = fleet.server(&place.server)?;
+    let placement = place_plain(&fleet, &request).ok()?;
+    let server_state = fleet.server(&placement.server)?;
     tracing::info!(
         event = events::PLAIN_PLACED,
         request_id = call.id(),
         route = %call.route.name,
         service = %call.service,
         config = call.config,
-        server = %place.server,
+        server = %placement.server,
         domain = %server_state.entry.domain,
         row_version = server_state.version,
         own = server_state.local_load.running,
         all = fleet.load(server_state, request.now).running,
         failure_share = server_state.health.failure_fraction(request.now),
         limit = fleet.limits.limit(server_state.incarnation).map(RequestRate::per_second),
-        cost = place.cost,
+        cost = placement.cost,
         attempt = attempts.count(),
         "placed"
     );
-    Some(place.server)
+    Some(placement.server)
 }
 
 async fn send_attempt<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
     server: ServerKey,
-    permit: SendPermit,
-) -> SendOutcome {
+    permit: AttemptPermit,
+) -> AttemptOutcome {
     let Some(target) = exchange::send_target(state, &server) else {
-        return SendOutcome::Failed(SendFailure::Unsent);
+        return AttemptOutcome::Failed(AttemptFailure::Unsent);
     };
     let _load_guard = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
-    let order = AttemptSpec {
+    let attempt_spec = AttemptSpec {
         server: target.server.clone(),
         time_left,
         purpose: AttemptPurpose::Respond,
         resume_after: call.head.resume_after,
     };
-    match exchange::exchange::<C>(state, call, &target, &order, permit, time_left).await {
-        Ok(reply) => read_response::<C>(state, call, &target, reply).await,
-        Err(failure) => SendOutcome::Failed(failure),
+    match exchange::exchange::<C>(state, call, &target, &attempt_spec, permit, time_left).await {
+        Ok(opened) => read_response::<C>(state, call, &target, opened).await,
+        Err(failure) => AttemptOutcome::Failed(failure),
     }
 }
 
@@ -233,18 +237,18 @@
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
-    reply: OpenReply,
-) -> SendOutcome {
-    let (parts, body) = reply.response.into_parts();
+    opened: OpenResponse,
+) -> AttemptOutcome {
+    let (parts, body) = opened.response.into_parts();
     let read = match with_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
-        Some(Err(error)) => Err((SendFailure::Broken, error.to_string())),
-        None => Err((SendFailure::Silent, "the body did not arrive in time".to_owned())),
+        Some(Err(error)) => Err((AttemptFailure::Broken, error.to_string())),
+        None => Err((AttemptFailure::Silent, "the body did not arrive in time".to_owned())),
     };
     let body: Bytes = match read {
         Ok(body) => body,
         Err((failure, problem)) => {
-            return SendOutcome::Failed(exchange::record_failure(
+            return AttemptOutcome::Failed(exchange::record_failure(
                 state, call, target, failure, &problem,
             ));
         }
@@ -254,13 +258,13 @@
     if !is_error && is_delimited(&parts.headers) {
         state.record_completion(call.fingerprint, target);
     }
-    if !reply.head.closes {
-        state.pool.put(target, reply.connection, reply.head.keep_alive, Instant::now());
+    if !opened.head.closes {
+        state.pool.put(target, opened.connection, opened.head.keep_alive, Instant::now());
     }
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::response_headers(&parts.headers);
-    SendOutcome::Responded(response)
+    AttemptOutcome::Responded(response)
 }
 
 fn complete(
@@ -292,6 +296,6 @@
 ) -> Response<GatewayBody> {
     match earlier.error_response {
         Some(response) => complete(call, response, attempts),
-        None => reject_unanswered(state, call, attempts, earlier.may_have_run, || RETRY_AFTER),
+        None => reject_failed(state, call, attempts, earlier.may_have_run, || RETRY_AFTER),
     }
 }
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -8,10 +8,10 @@
 use http_body_util::BodyExt;
 
 use super::Call;
+use super::attempt_permit::AttemptPermit;
 use super::cache_guard::CacheGuard;
 use super::exchange;
-use super::exchange::SendFailure;
-use super::send_permit::SendPermit;
+use super::exchange::AttemptFailure;
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
@@ -37,16 +37,17 @@
 /// they lengthen the queues, and healthy engines count as failed. At half the prefill rate
 /// that fixed timeouts assume, most prompts time out.
 fn prefill_timeout(state: &GatewayState, call: &Call, tokens_ahead: u32) -> Duration {
-    let reading = state.estimates(&call.service).balance.reading;
-    let typical = reading.estimate(tokens_ahead).map(|typical| typical * TIMEOUT_FACTOR);
-    let slowest = || {
+    let prefill_rate = state.estimates(&call.service).balance.reading;
+    let typical = prefill_rate.estimate(tokens_ahead).map(|typical| typical * TIMEOUT_FACTOR);
+    let default_time = || {
         let millis = f64::from(tokens_ahead) / DEFAULT_TOKENS_PER_MS;
         Duration::from_secs_f64(millis / 1000.0)
     };
-    BASE_TIMEOUT + typical.unwrap_or_else(slowest)
+    BASE_TIMEOUT + typical.unwrap_or_else(default_time)
 }
 
-/// Returns the prompt tokens of all gateways at a server, including this prompt's.
+/// Returns the prompt tokens that requests of all gateways have at a server, including this
+/// prompt's.
 fn queued_prompt_tokens(state: &GatewayState, target: &SendTarget) -> u32 {
     let fleet = state.fleet();
     let server_state = fleet.server(&target.server);
@@ -59,43 +60,44 @@
     state: &Arc<GatewayState>,
     call: &Call,
     load_guard: LoadGuard,
-    permit: SendPermit,
+    permit: AttemptPermit,
     resume_after: Option<u64>,
-) -> Result<CacheGuard<C>, SendFailure> {
-    let target = exchange::send_target(state, &load_guard.server).ok_or(SendFailure::Unsent)?;
+) -> Result<CacheGuard<C>, AttemptFailure> {
+    let target = exchange::send_target(state, &load_guard.server).ok_or(AttemptFailure::Unsent)?;
     let started_at = Instant::now();
     let time_left = call.time_left(started_at);
     let tokens_ahead = queued_prompt_tokens(state, &target).max(call.prompt_shape().prompt_tokens);
     let timeout = prefill_timeout(state, call, tokens_ahead).min(time_left);
-    let order = AttemptSpec {
+    let attempt_spec = AttemptSpec {
         server: target.server.clone(),
         time_left,
         purpose: AttemptPurpose::Prefill,
         resume_after,
     };
-    let reply = exchange::exchange::<C>(state, call, &target, &order, permit, timeout).await?;
-    let status = reply.response.status();
+    let opened =
+        exchange::exchange::<C>(state, call, &target, &attempt_spec, permit, timeout).await?;
+    let status = opened.response.status();
     let read = async {
-        let collected = reply.response.into_body().collect().await;
-        collected.map_err(|error| (SendFailure::Broken, error.to_string()))
+        let collected = opened.response.into_body().collect().await;
+        collected.map_err(|error| (AttemptFailure::Broken, error.to_string()))
     };
     let timed_out = async {
         smol::Timer::at(started_at + timeout).await;
-        Err((SendFailure::Silent, "the body did not arrive in time".to_owned()))
+        Err((AttemptFailure::Silent, "the body did not arrive in time".to_owned()))
     };
     let fail =
         |failure, problem: &str| exchange::record_failure(state, call, &target, failure, problem);
     let body = read.or(timed_out).await.map_err(|(failure, problem)| fail(failure, &problem))?;
     let body = body.to_bytes();
-    if !reply.head.closes {
-        state.pool.put(&target, reply.connection, reply.head.keep_alive, Instant::now());
+    if !opened.head.closes {
+        state.pool.put(&target, opened.connection, opened.head.keep_alive, Instant::now());
     }
     if !status.is_success() {
-        return Err(fail(SendFailure::Garbled, &format!("status {status}")));
+        return Err(fail(AttemptFailure::Garbled, &format!("status {status}")));
     }
-    let result =
-        C::prefill_result(&body).map_err(|error| fail(SendFailure::Garbled, &error.to_string()))?;
-    reply.permit.settle();
+    let result = C::prefill_result(&body)
+        .map_err(|error| fail(AttemptFailure::Garbled, &error.to_string()))?;
+    opened.permit.settle();
     let took = started_at.elapsed();
     state
         .service_queues
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -89,7 +89,7 @@
 
 impl Rejection {
     /// Returns true when the response guarantees that the request has not run.
-    fn promises_not_run(self) -> bool {
+    fn guarantees_not_run(self) -> bool {
         matches!(self.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS)
     }
 }
@@ -111,9 +111,10 @@
     response
 }
 
-/// Rejects `call` when no further attempt is allowed. Only a request that certainly did not run
-/// gets a status that guarantees it; `usual_delay` returns its usual `Retry-After`.
-pub fn reject_unanswered(
+/// Rejects `call`, which has no response of a server and is allowed no further attempt. Only a
+/// request that certainly did not run gets a status that guarantees it; `usual_delay` returns its
+/// usual `Retry-After`.
+pub fn reject_failed(
     state: &GatewayState,
     call: &Call,
     attempts: &Attempts,
@@ -139,17 +140,17 @@
 }
 
 /// Returns the time until the rate limits allow this gateway to send `call` to a server that
-/// can answer it: zero when one allows it now, `None` when there is no such server.
+/// can respond to it: zero when one allows it now, `None` when there is no such server.
 pub(super) fn next_send_after(state: &GatewayState, call: &Call, now: Instant) -> Option<Duration> {
     let fleet = state.fleet();
-    let can_answer = |stage| stage != ServerStage::Prefill;
+    let can_respond = |stage| stage != ServerStage::Prefill;
     if !fleet
         .available_servers(&call.service, now)
-        .any(|(server_state, _)| can_answer(server_state.entry.stage))
+        .any(|(server_state, _)| can_respond(server_state.entry.stage))
     {
         return None;
     }
-    let at = fleet.next_send_at(&call.service, can_answer, now);
+    let at = fleet.next_send_at(&call.service, can_respond, now);
     Some(at.map_or(NO_SHARE_RETRY_AFTER, |at| at.saturating_duration_since(now)))
 }
 
@@ -160,7 +161,7 @@
     retry_after: Option<Duration>,
     sends: u32,
 ) -> Response<GatewayBody> {
-    if rejection.promises_not_run()
+    if rejection.guarantees_not_run()
         && let Some(charge) = &call.charge
     {
         charge.refund();
--- a/crates/gateway/src/forward/relay.rs
+++ b/crates/gateway/src/forward/relay.rs
@@ -18,7 +18,7 @@
 use super::StreamEvent;
 use super::attempts::Attempts;
 use super::exchange;
-use super::exchange::SendFailure;
+use super::exchange::AttemptFailure;
 use super::response_body;
 use super::response_body::BodyFrame;
 use super::stream_open;
@@ -55,7 +55,7 @@
 /// Why a server's stream stopped.
 enum StreamStop {
     Ended,
-    Failed(SendFailure, String),
+    Failed(AttemptFailure, String),
     Expired,
 }
 
@@ -70,7 +70,9 @@
     metrics::histogram!("umberglade_first_event_seconds").record(first_event.as_secs_f64());
     if attempts.count() == 1 {
         let took = stream.load_guard.age();
-        state.service_queues.with_first_event_time(&call.service, |opening| opening.record(took));
+        state
+            .service_queues
+            .with_first_event_time(&call.service, |first_event_time| first_event_time.record(took));
     }
     let (sender, body) = response_body::streamed();
     let mut response = Response::new(body);
@@ -95,7 +97,7 @@
 
 struct Relay<C> {
     state: Arc<GatewayState>,
-    /// Makes a graceful stop wait for the stream.
+    /// Makes a graceful shutdown wait for the stream.
     #[allow(dead_code)]
     in_flight: InFlightGuard,
     call: Arc<Call>,
@@ -114,18 +116,18 @@
 impl<C: PlatformCodec> Relay<C> {
     async fn run(mut self, stream: OpenStream) {
         let sender = self.sender.clone();
-        // Prevents a server from working on when its caller disconnects between two events:
-        // no write fails then, but the body is dropped.
+        // Stops the server when its caller disconnects between two events: no write fails then,
+        // but the body is dropped.
         let caller_left = async {
             sender.closed().await;
             RelayOutcome::CallerLeft
         };
-        let end = self.relay_all(stream).or(caller_left).await;
-        if matches!(end, RelayOutcome::Broken | RelayOutcome::Expired) {
+        let outcome = self.relay_all(stream).or(caller_left).await;
+        if matches!(outcome, RelayOutcome::Broken | RelayOutcome::Expired) {
             // Fails only if the caller has disconnected.
             let _ = self.sender.send(Err(StreamBroken)).await;
         }
-        self.log_end(end);
+        self.log_end(outcome);
     }
 
     /// Relays `stream` and, where allowed, its continuation at other servers.
@@ -134,7 +136,7 @@
         loop {
             let stop = match self.relay_one(&mut current).await {
                 Ok(stop) => stop,
-                Err(end) => return end,
+                Err(outcome) => return outcome,
             };
             let (failure, problem) = match stop {
                 StreamStop::Ended => {
@@ -180,7 +182,7 @@
             if let Some(event) = next.take() {
                 if !self.is_next(&event) {
                     let problem = format!("event {:?} after {:?}", event.id, self.last_id);
-                    return Ok(StreamStop::Failed(SendFailure::Garbled, problem));
+                    return Ok(StreamStop::Failed(AttemptFailure::Garbled, problem));
                 }
                 self.relay_event(event).await?;
                 tokens += tokens_per_event;
@@ -192,15 +194,15 @@
                 Some(Ok(None)) if stream.reader.is_complete() => return Ok(StreamStop::Ended),
                 Some(Ok(None)) => {
                     let problem = "ended within an event".to_owned();
-                    return Ok(StreamStop::Failed(SendFailure::Broken, problem));
+                    return Ok(StreamStop::Failed(AttemptFailure::Broken, problem));
                 }
                 Some(Err(error)) => {
-                    return Ok(StreamStop::Failed(SendFailure::Broken, error.to_string()));
+                    return Ok(StreamStop::Failed(AttemptFailure::Broken, error.to_string()));
                 }
                 None if Instant::now() >= self.call.deadline => return Ok(StreamStop::Expired),
                 None => {
                     let problem = format!("no event for {} ms", stall_timeout.as_millis());
-                    return Ok(StreamStop::Failed(SendFailure::Silent, problem));
+                    return Ok(StreamStop::Failed(AttemptFailure::Silent, problem));
                 }
             }
         }
@@ -271,7 +273,7 @@
             .await?;
             self.attempts.record(&load_guard.server);
             let source = cache.as_ref().and_then(|cache| cache.source().cloned());
-            let order = AttemptSpec {
+            let attempt_spec = AttemptSpec {
                 server: load_guard.server.clone(),
                 time_left: self.call.time_left(Instant::now()),
                 purpose: source.map_or(AttemptPurpose::Respond, AttemptPurpose::Decode),
@@ -288,16 +290,16 @@
             );
             metrics::counter!("umberglade_streams_resumed_total").increment(1);
             let timeout = RESUME_TIMEOUT.min(time_left);
-            let end = stream_open::open::<C>(
+            let outcome = stream_open::open::<C>(
                 &self.state,
                 &self.call,
                 load_guard,
                 permit,
-                &order,
+                &attempt_spec,
                 timeout,
             )
             .await;
-            match end {
+            match outcome {
                 OpenOutcome::Stream(stream) => {
                     if let Some(cache) = cache {
                         cache.disarm();
@@ -305,27 +307,27 @@
                     return Some(stream);
                 }
                 OpenOutcome::Responded(_) => self.attempts.runs += 1,
-                OpenOutcome::Failed(SendFailure::Unsent) => self.attempts.record_unsent(),
+                OpenOutcome::Failed(AttemptFailure::Unsent) => self.attempts.record_unsent(),
                 OpenOutcome::Failed(failure) if failure.is_not_run() => {}
                 OpenOutcome::Failed(_) => self.attempts.runs += 1,
             }
         }
     }
 
-    fn log_end(&self, end: RelayOutcome) {
-        let event = match end {
+    fn log_end(&self, outcome: RelayOutcome) {
+        let event = match outcome {
             RelayOutcome::Whole => events::CALL_DONE,
             RelayOutcome::CallerLeft => events::CALLER_DISCONNECTED,
             RelayOutcome::Expired | RelayOutcome::Broken => events::STREAM_BROKEN,
         };
-        let outcome = end.to_string();
-        metrics::counter!("umberglade_streams_total", "outcome" => outcome).increment(1);
+        let label = outcome.to_string();
+        metrics::counter!("umberglade_streams_total", "outcome" => label).increment(1);
         tracing::info!(
             event,
             request_id = self.call.id(),
             route = %self.call.route.name,
             server = self.attempts.tried.last().map(|server| &**server),
-            outcome = %end,
+            outcome = %outcome,
             events = self.relayed,
             last_id = self.last_id,
             sends = self.attempts.count(),
--- a/crates/gateway/src/forward/response_body.rs
+++ b/crates/gateway/src/forward/response_body.rs
@@ -7,8 +7,8 @@
 use hyper::body::Frame;
 use snafu::Snafu;
 
-/// The stream ended early. The connection is closed without the end mark of a complete
-/// body, so that callers cannot take the response for complete.
+/// The stream ended early. The connection is closed before the end of the body, so that callers
+/// do not mistake the response for a complete one.
 #[derive(Debug, Clone, Copy, Snafu)]
 #[snafu(display("the response ended early"))]
 pub struct StreamBroken;
--- a/crates/gateway/src/forward/stream_open.rs
+++ b/crates/gateway/src/forward/stream_open.rs
@@ -13,11 +13,11 @@
 use super::EventReader;
 use super::GatewayBody;
 use super::StreamEvent;
+use super::attempt_permit::AttemptPermit;
 use super::exchange;
-use super::exchange::OpenReply;
-use super::exchange::SendFailure;
+use super::exchange::AttemptFailure;
+use super::exchange::OpenResponse;
 use super::response_body;
-use super::send_permit::SendPermit;
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::load_guard::LoadGuard;
@@ -40,7 +40,7 @@
     /// Returned to the pool when the stream completes; `None` if the server closes it.
     pub connection: Option<PooledConnection>,
     pub keep_alive: Option<Duration>,
-    /// False when its end cannot be told from a crash of its server.
+    /// False when the end of the stream cannot be distinguished from a crash of the server.
     pub is_delimited: bool,
     pub load_guard: LoadGuard,
 }
@@ -51,48 +51,49 @@
     Stream(Box<OpenStream>),
     /// The server's complete error response.
     Responded(Response<GatewayBody>),
-    Failed(SendFailure),
+    Failed(AttemptFailure),
 }
 
-/// Sends `call` by `order` to the server of `load_guard` and waits up to `timeout` for the first
-/// event.
+/// Sends `call` as `attempt_spec` states to the server of `load_guard` and waits up to `timeout`
+/// for the first event.
 pub async fn open<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Call,
     load_guard: LoadGuard,
-    permit: SendPermit,
-    order: &AttemptSpec,
+    permit: AttemptPermit,
+    attempt_spec: &AttemptSpec,
     timeout: Duration,
 ) -> OpenOutcome {
     let Some(target) = exchange::send_target(state, &load_guard.server) else {
-        return OpenOutcome::Failed(SendFailure::Unsent);
+        return OpenOutcome::Failed(AttemptFailure::Unsent);
     };
     let deadline = Instant::now() + timeout;
-    let reply = match exchange::exchange::<C>(state, call, &target, order, permit, timeout).await {
-        Ok(reply) => reply,
-        Err(failure) => return OpenOutcome::Failed(failure),
-    };
+    let opened =
+        match exchange::exchange::<C>(state, call, &target, attempt_spec, permit, timeout).await {
+            Ok(opened) => opened,
+            Err(failure) => return OpenOutcome::Failed(failure),
+        };
     let fail = |failure, problem: &str| {
         OpenOutcome::Failed(exchange::record_failure(state, call, &target, failure, problem))
     };
-    let status = reply.response.status();
+    let status = opened.response.status();
     if !status.is_success() {
-        return match with_deadline(deadline, read_error_response::<C>(reply)).await {
+        return match with_deadline(deadline, read_error_response::<C>(opened)).await {
             Some(Ok(response)) => {
                 state.record_outcome(&target, ServerOutcome::Erred);
                 OpenOutcome::Responded(response)
             }
-            Some(Err(error)) => fail(SendFailure::Broken, &error.to_string()),
-            None => fail(SendFailure::Silent, "no response body in time"),
+            Some(Err(error)) => fail(AttemptFailure::Broken, &error.to_string()),
+            None => fail(AttemptFailure::Silent, "no response body in time"),
         };
     }
-    let OpenReply { response, head, connection, .. } = reply;
+    let OpenResponse { response, head, connection, .. } = opened;
     let (parts, body) = response.into_parts();
     let mut reader = EventReader::new(body);
     let first = match with_deadline(deadline, reader.next_event()).await {
         Some(Ok(first)) => first,
-        Some(Err(error)) => return fail(SendFailure::Broken, &error.to_string()),
-        None => return fail(SendFailure::Silent, "no first event in time"),
+        Some(Err(error)) => return fail(AttemptFailure::Broken, &error.to_string()),
+        None => return fail(AttemptFailure::Silent, "no first event in time"),
     };
     state.record_outcome(&target, ServerOutcome::Fine);
     OpenOutcome::Stream(Box::new(OpenStream {
@@ -109,9 +110,9 @@
 }
 
 async fn read_error_response<C: PlatformCodec>(
-    reply: OpenReply,
+    opened: OpenResponse,
 ) -> Result<Response<GatewayBody>, hyper::Error> {
-    let (parts, body) = reply.response.into_parts();
+    let (parts, body) = opened.response.into_parts();
     let body = body.collect().await?.to_bytes();
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
--- a/crates/gateway/src/forward/stream_run.rs
+++ b/crates/gateway/src/forward/stream_run.rs
@@ -16,10 +16,10 @@
 use super::capacity_wait::log_placed;
 use super::capacity_wait::placement_request;
 use super::capacity_wait::wait_for_capacity;
-use super::exchange::SendFailure;
+use super::exchange::AttemptFailure;
 use super::prefill_step;
 use super::reject::reject_call;
-use super::reject::reject_unanswered;
+use super::reject::reject_failed;
 use super::relay;
 use super::stream_open;
 use super::stream_open::OpenOutcome;
@@ -44,7 +44,7 @@
     call: Arc<Call>,
     mut attempts: Attempts,
 ) -> Response<GatewayBody> {
-    // A stream that starts this late in a stop would be cut by the end of the process.
+    // A stream that starts this late in a shutdown would be cut when the process ends.
     if state.stop.has_elapsed(IDLE_CLOSE_DELAY) {
         return reject_call(&call, Rejection::Stopping, Some(Duration::ZERO), 0);
     }
@@ -86,7 +86,7 @@
         attempts.record(&load_guard.server);
         let source = cache.as_ref().and_then(|cache| cache.source().cloned());
         let has_source = source.is_some();
-        let order = AttemptSpec {
+        let attempt_spec = AttemptSpec {
             server: load_guard.server.clone(),
             time_left: call.time_left(Instant::now()),
             purpose: source.map_or(AttemptPurpose::Respond, AttemptPurpose::Decode),
@@ -94,7 +94,7 @@
         };
         let timeout = first_event_timeout(&call, &attempts);
         let outcome =
-            stream_open::open::<C>(state, &call, load_guard, permit, &order, timeout).await;
+            stream_open::open::<C>(state, &call, load_guard, permit, &attempt_spec, timeout).await;
         match outcome {
             OpenOutcome::Stream(stream) => {
                 if let Some(cache) = cache {
@@ -115,11 +115,12 @@
                 // The KV cache was not fetched, so it is offered to the next server: another
                 // prefill would cost as much as tens of tokens. A server that rejected the
                 // request may have found the cache missing, so only one more is offered it.
-                let is_offered_again = failure == SendFailure::Unsent || rejected_with_cache == 0;
-                if failure == SendFailure::Unsent {
+                let is_offered_again =
+                    failure == AttemptFailure::Unsent || rejected_with_cache == 0;
+                if failure == AttemptFailure::Unsent {
                     attempts.record_unsent();
                 }
-                rejected_with_cache += u32::from(has_source && failure == SendFailure::NotRun);
+                rejected_with_cache += u32::from(has_source && failure == AttemptFailure::NotRun);
                 reusable_cache = cache.filter(|cache| is_offered_again && cache.is_fresh(ttl));
             }
             OpenOutcome::Failed(_) => {
@@ -143,7 +144,7 @@
         return response;
     }
     let usual_delay = || capacity_retry_after(state, &call);
-    reject_unanswered(state, &call, &attempts, may_have_run, usual_delay)
+    reject_failed(state, &call, &attempts, may_have_run, usual_delay)
 }
 
 /// Returns the timeout of the first event: the call's deadline if no other server may be tried.
@@ -183,13 +184,13 @@
     let decode = place_retry(state, call, attempts)?;
     let Some(server) = nearby_prefill(state, call, &decode) else { return Some((decode, None)) };
     let Some(permit) = attempts.permit_prefill(state, call) else { return Some((decode, None)) };
-    let work = LoadShare::of_prompt(call.prompt_shape().prompt_tokens);
-    let prefill = LoadGuard::begin(state, server, work);
+    let load_share = LoadShare::of_prompt(call.prompt_shape().prompt_tokens);
+    let prefill = LoadGuard::begin(state, server, load_share);
     let cache = prefill_step::prefill::<C>(state, call, prefill, permit, resume_after).await.ok();
     Some((decode, cache))
 }
 
-/// Returns a prefill server near the decode server, if there is one.
+/// Returns a prefill server, preferably in the failure domain of the decode server.
 fn nearby_prefill(state: &Arc<GatewayState>, call: &Call, decode: &LoadGuard) -> Option<ServerKey> {
     let fleet = state.fleet();
     let domain = fleet.server(&decode.server)?.entry.domain.clone();
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -22,7 +22,7 @@
 /// `Retry-After` of a request for which no newer configuration could be read.
 pub(super) const CONFIG_UNSETTLED_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// What the configuration says about a request.
+/// The configuration that applies to a request.
 pub(super) struct FoundRoute {
     pub table: Arc<RouteTable>,
     pub route: Arc<Route>,
@@ -30,20 +30,20 @@
 }
 
 impl FoundRoute {
-    /// Returns what servers are told about the caller.
-    pub fn caller_mark(&self) -> CallerIdentity {
+    /// Returns what the request to a server states about the caller.
+    pub fn caller_identity(&self) -> CallerIdentity {
         CallerIdentity {
-            organisation: self.organisation.as_ref().map(|of| of.name.clone()),
+            organisation: self.organisation.as_ref().map(|organisation| organisation.name.clone()),
             strips_key: !self.table.organisations.is_empty(),
         }
     }
 }
 
-/// Returns the route of a request, and the organisation whose key it bears.
+/// Returns the route of a request, and the organisation that its key belongs to.
 ///
-/// A caller that is told that its route or key is unknown does not retry. Unless the configuration
+/// A caller whose route or key is rejected as unknown does not retry. So unless the configuration
 /// in force is certainly the newest, the newest is read first; where that fails, the request is
-/// rejected with a time to retry.
+/// rejected with a `Retry-After`.
 pub(super) async fn find_route(
     state: &GatewayState,
     host: &str,
@@ -64,7 +64,7 @@
             return Err(Rejection::ConfigUnsettled);
         }
         state.request_config_read();
-        // A change that arrives in between is seen at the next check.
+        // The next check finds a configuration that arrives before the wait begins.
         with_deadline(
             deadline.min(Instant::now() + POLL_INTERVAL),
             state.capacity_changed.listen(),
--- a/crates/gateway/src/ingress/front_server.rs
+++ b/crates/gateway/src/ingress/front_server.rs
@@ -70,19 +70,19 @@
         let _ = connection.as_mut().await;
         true
     };
-    // A connection opened after that time is not closed while idle: its first request may be on its
-    // way, and the response to it closes the connection.
-    let opened_after_close = state.stop.has_elapsed(IDLE_CLOSE_DELAY);
-    // Connections opened after that time may stay idle, and shutdown does not wait for them.
-    let _connection_guard = (!opened_after_close).then(|| state.in_flight.enter_connection());
-    let close_time_passed = async {
-        if opened_after_close {
+    // A connection opened later than `IDLE_CLOSE_DELAY` into a shutdown is not closed while idle:
+    // its first request may be on its way, and the response to it closes the connection.
+    let opened_after_idle_close = state.stop.has_elapsed(IDLE_CLOSE_DELAY);
+    // Such connections may stay idle, so the shutdown does not wait for them.
+    let _connection_guard = (!opened_after_idle_close).then(|| state.in_flight.enter_connection());
+    let idle_close_due = async {
+        if opened_after_idle_close {
             std::future::pending::<()>().await;
         }
         state.stop.wait_elapsed(IDLE_CLOSE_DELAY).await;
         false
     };
-    if !connection_ended.or(close_time_passed).await {
+    if !connection_ended.or(idle_close_due).await {
         connection.as_mut().graceful_shutdown();
         let _ = connection.await;
     }
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -75,13 +75,13 @@
         Ok(found) => found,
         Err(rejection) => return Ok(reject_unrouted(state, request_id, &head.key, rejection)),
     };
-    let caller_mark = found.caller_mark();
+    let caller_identity = found.caller_identity();
     let FoundRoute { table, route, organisation } = found;
     if request.body().size_hint().lower() > table.limits.max_body_bytes as u64 {
         return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::set_caller_headers(&mut parts.headers, &caller_mark);
+    C::set_caller_headers(&mut parts.headers, &caller_identity);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
         None => return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version)),
@@ -129,7 +129,7 @@
         spec,
         config: table.version,
         arrived,
-        tried_for: state.service_queues.retrying_for(&route.name, stated_timeout),
+        retrying_for: state.service_queues.retrying_for(&route.name, stated_timeout),
         deadline: arrived + time_limit,
     })))
 }
@@ -147,7 +147,7 @@
     uri.host().or_else(|| headers.get(header::HOST).and_then(|value| value.to_str().ok()))
 }
 
-/// Returns the credentials that the request itself states.
+/// Returns the credentials in the request, which are part of its fingerprint.
 fn credentials(key: &CallerKey) -> &[u8] {
     match key {
         CallerKey::Sent(digest) => digest.as_bytes(),
@@ -155,8 +155,8 @@
     }
 }
 
-/// Charges a request to its organisation's quota; returns the time to retry after where the quota
-/// is used up.
+/// Charges a request to its organisation's quota; returns the `Retry-After` where the quota
+/// is exhausted.
 fn charge(
     state: &Arc<GatewayState>,
     organisation: Option<&Organisation>,
@@ -173,7 +173,7 @@
     Ok(Some(QuotaCharge::new(state, organisation_digest(&organisation.name), cost)))
 }
 
-/// Rejects a request that the configuration in force does not allow.
+/// Rejects a request with the rejection of [`find_route`], and logs an unknown key.
 fn reject_unrouted(
     state: &GatewayState,
     request_id: &str,
@@ -231,7 +231,7 @@
         reason = %rejection,
         status = rejection.status().as_u16(),
         config,
-        "refused"
+        "rejected"
     );
     ReadOutcome::Rejected(reject(rejection, retry_after))
 }
--- a/crates/gateway/src/quarantine/probe_claim.rs
+++ b/crates/gateway/src/quarantine/probe_claim.rs
@@ -17,12 +17,12 @@
 ///
 /// Prevents a probe at each of hundreds of gateways, each of which may crash a server: the
 /// gateway that changes the row from the version known to all has claimed the probe, and
-/// the others restart the probe delay. A claim whose response is lost shows later by its
-/// row, and is used then.
+/// the others restart the probe delay. When the response to a claim is lost,
+/// the row shows the claim later, and the probe is sent then.
 ///
 /// While the store is unavailable, the first probe and those that distinguish fingerprints
-/// are made without a claim, by the first of the gateways that receive each other's
-/// reports: harmless requests quarantined together with poison ones would otherwise wait
+/// are made without a claim, by the gateway that is first among those that receive each
+/// other's reports: harmless requests quarantined together with poison ones would otherwise wait
 /// for the store.
 pub async fn claim_probe<C: PlatformCodec>(
     state: &GatewayState,
--- a/crates/gateway/src/quarantine/quarantines.rs
+++ b/crates/gateway/src/quarantine/quarantines.rs
@@ -1,4 +1,4 @@
-//! The state of this process on fingerprints under which servers crash.
+//! This process's state of the fingerprints whose requests crash servers.
 
 use std::sync::Mutex;
 use std::sync::MutexGuard;
@@ -29,7 +29,7 @@
     /// Notified when rows of the store are to be written or removed.
     pub rows_due: Event,
     /// True once the rows of the store have been read.
-    is_read: AtomicBool,
+    has_read_rows: AtomicBool,
     /// Identifies this process in the rows that it writes to claim a probe. The value is
     /// random, as a restarted process has claimed nothing.
     pub claimant: u64,
@@ -41,7 +41,7 @@
         Quarantines {
             detector: Mutex::new(CrashDetector::new(started_at)),
             rows_due: Event::new(),
-            is_read: AtomicBool::new(false),
+            has_read_rows: AtomicBool::new(false),
             claimant: fastrand::u64(1..),
         }
     }
@@ -70,7 +70,7 @@
             crashes,
             lived_ms = run_duration.as_millis() as u64,
             is_held_back = change.is_some(),
-            "a server may have crashed under this request"
+            "a server may have crashed while it ran this request"
         );
         self.log_change(fingerprint, change, "own")
     }
@@ -109,7 +109,7 @@
         self.log_change(fingerprint, change, "store")
     }
 
-    /// Applies that the store holds no row of `fingerprint` as of `version`.
+    /// Records that the store holds no row of `fingerprint` as of `version`.
     pub fn apply_missing_row(&self, fingerprint: RequestFingerprint, version: StoreVersion) {
         let change = self.detector().apply_missing_row(fingerprint, version, Instant::now());
         self.log_change(fingerprint, change, "store");
@@ -121,17 +121,17 @@
     }
 
     /// Records that the rows of the store have been read.
-    pub fn mark_read(&self) {
-        self.is_read.store(true, Ordering::Release);
+    pub fn mark_rows_read(&self) {
+        self.has_read_rows.store(true, Ordering::Release);
     }
 
     /// Returns true once the rows of the store have been read.
-    pub fn is_read(&self) -> bool {
-        self.is_read.load(Ordering::Acquire)
+    pub fn has_read_rows(&self) -> bool {
+        self.has_read_rows.load(Ordering::Acquire)
     }
 
-    /// Decides on a new request, also by reports received while this process was still warming
-    /// up.
+    /// Decides whether a new request may be sent. First quarantines its fingerprint if reports
+    /// that were received while this process was still warming up show it to be suspect.
     pub fn admit(&self, fingerprint: RequestFingerprint) -> QuarantineVerdict {
         let now = Instant::now();
         let change = self.detector().quarantine_if_suspect(fingerprint, now);
@@ -179,8 +179,8 @@
         self.detector().queue_row_change(change);
     }
 
-    /// Removes expired state; with `removes_rows`, this gateway removes the rows of
-    /// fingerprints without requests.
+    /// Removes expired state, such as quarantines of fingerprints without requests. With
+    /// `removes_rows`, this gateway removes their rows too.
     pub fn tick(&self, removes_rows: bool) {
         let mut detector = self.detector();
         let forgotten = detector.tick(removes_rows, Instant::now());
@@ -196,7 +196,8 @@
         self.detector.lock().expect("detector lock")
     }
 
-    /// Logs a change and how it became known; returns true if there is one.
+    /// Logs the fingerprints that were released, then a change and how it became known. Returns
+    /// true if there is any.
     fn log_change(
         &self,
         fingerprint: RequestFingerprint,
--- a/crates/gateway/src/quarantine/row_writer.rs
+++ b/crates/gateway/src/quarantine/row_writer.rs
@@ -18,7 +18,7 @@
 /// Delay from the quarantine of a fingerprint until its row is written: peers may have seen
 /// a request of it complete, and report that within a few reports.
 const SETTLE_DELAY: Duration = Duration::from_millis(300);
-/// Delay after a failed call.
+/// Delay after a failed call of the store.
 const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Writes and removes rows until the process stops.
@@ -92,6 +92,6 @@
         step,
         row_version = version,
         outcome,
-        "row of a quarantined request"
+        "change of a quarantine's row"
     );
 }
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -21,7 +21,8 @@
 pub struct QuotaPeers {
     counted_at: Instant,
     live_peers: usize,
-    /// True when some are of another shard; these exchange reports at longer intervals.
+    /// True when some peers belong to another shard, with which reports are exchanged at longer
+    /// intervals.
     has_remote: bool,
 }
 
@@ -53,10 +54,10 @@
     /// Returns the peers that share quotas with this gateway, counted again after
     /// [`COUNT_INTERVAL`].
     fn quota_peers(&self, now: Instant) -> QuotaPeers {
-        let known = *self.quota_peers.lock().expect("quota peers lock");
+        let last_count = *self.quota_peers.lock().expect("quota peers lock");
         let is_recent =
             |peers: &QuotaPeers| now.saturating_duration_since(peers.counted_at) < COUNT_INTERVAL;
-        if let Some(peers) = known.filter(is_recent) {
+        if let Some(peers) = last_count.filter(is_recent) {
             return peers;
         }
         let peers = {
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Charges `cost` units to `organisation` for `request_id`, or returns after how long the
-    /// caller may retry.
+    /// Charges `cost` units to `organisation` for `request_id`, or returns the time after
+    /// which the caller may retry.
     pub fn charge(
         &self,
         organisation: &Organisation,
@@ -111,7 +111,7 @@
         self.pool().refund(organisation, cost, Instant::now());
     }
 
-    /// Applies what `peer`, which has run for `age`, reports to have charged.
+    /// Applies the charges that `peer`, which has run for `age`, reports.
     pub fn apply_peer_charges(
         &self,
         peer: u64,
@@ -129,7 +129,7 @@
         self.pool().updates(reports_all)
     }
 
-    /// Returns the charges that a report to peers includes which receive reports rarely.
+    /// Returns the charges for reports to peers that receive reports rarely.
     pub fn recent_updates(&self) -> Vec<(OrganisationDigest, ChargeUpdate)> {
         self.pool().recent_updates()
     }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -258,8 +258,8 @@
     pub async fn wait_until_initialized(&self) {
         loop {
             let changed = self.capacity_changed.listen();
-            let has_quarantines =
-                self.quarantines.is_read() || self.started_at.elapsed() > QUARANTINE_READ_TIMEOUT;
+            let has_quarantines = self.quarantines.has_read_rows()
+                || self.started_at.elapsed() > QUARANTINE_READ_TIMEOUT;
             if self.is_initialized() && has_quarantines {
                 return;
             }
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -74,7 +74,7 @@
     }
 
     fn record_read(&mut self) {
-        self.state.quarantines.mark_read();
+        self.state.quarantines.mark_rows_read();
         self.state.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/upstream/connection_pool.rs
+++ b/crates/gateway/src/upstream/connection_pool.rs
@@ -42,7 +42,7 @@
 }
 
 impl ConnectionPool {
-    /// Takes a connection that is expected to be open.
+    /// Takes a connection to `target` that is expected to be open.
     pub fn take(&self, target: &SendTarget, now: Instant) -> Option<PooledConnection> {
         let mut idle = self.idle.lock().expect("pool lock");
         let connections = idle.get_mut(&target.server)?;
--- a/crates/gateway/src/upstream/sender.rs
+++ b/crates/gateway/src/upstream/sender.rs
@@ -79,8 +79,8 @@
         ConnectTimeoutSnafu { peer, timeout_ms: CONNECT_TIMEOUT.as_millis() as u64 }.fail()
     };
     let stream = open.or(timed_out).await?;
-    // Without it, the events of a stream wait for the acknowledgement of earlier ones. A
-    // failure only costs that delay.
+    // Without `TCP_NODELAY`, the events of a stream wait for the acknowledgement of earlier
+    // ones. A failure to set it only costs that delay.
     let _ = stream.set_nodelay(true);
     let (sender, connection) =
         http1::handshake(FuturesIo::new(stream)).await.context(HandshakeSnafu { peer })?;
