--- a/crates/bench/src/experiment.rs
+++ b/crates/bench/src/experiment.rs
@@ -47,7 +47,7 @@
     RoundRobin,
 }
 
-/// One policy at one load.
+/// The results of one run of a policy at one load.
 #[derive(Debug, Clone, Serialize)]
 pub struct ExperimentRow {
     pub policy: PolicyName,
--- a/crates/bench/src/latency.rs
+++ b/crates/bench/src/latency.rs
@@ -46,7 +46,8 @@
     Body { source: hyper::Error },
 }
 
-/// Latencies of one path to the engines, in milliseconds.
+/// Latencies of one path to the engines, in milliseconds: until the first token, and until the
+/// response is complete.
 #[derive(Debug, Clone, Serialize)]
 pub struct PathLatencies {
     pub first_token_p50: f64,
@@ -69,7 +70,7 @@
 /// Latencies of one request.
 struct RequestLatencies {
     first_token: Duration,
-    whole: Duration,
+    full_response: Duration,
 }
 
 /// Sends `requests` requests on each path, alternating between the two.
@@ -91,7 +92,7 @@
         direct.record(&send_direct(&engines, number).await?);
         routed.record(&send_routed(&daemon, number).await?);
     }
-    let (direct, routed) = (direct.times(), routed.times());
+    let (direct, routed) = (direct.latencies(), routed.latencies());
     Ok(LatencyReport {
         requests,
         first_token_ratio: routed.first_token_p50 / direct.first_token_p50,
@@ -142,7 +143,7 @@
         .send("decode", Method::POST, "/v1/decode", Some(body))
         .await
         .context(ExchangeSnafu)?;
-    read_lines(LineReader::new(response.into_body()), started_at, b"{").await
+    measure_response(LineReader::new(response.into_body()), started_at, b"{").await
 }
 
 async fn send_routed(daemon: &str, number: u32) -> Result<RequestLatencies, LatencyError> {
@@ -162,12 +163,12 @@
         .send_with("routed", request, body.to_string().into())
         .await
         .context(ExchangeSnafu)?;
-    read_lines(LineReader::new(response.into_body()), started_at, b"data: ").await
+    measure_response(LineReader::new(response.into_body()), started_at, b"data: ").await
 }
 
 /// Reads the response to its end; the first line that begins with `token_prefix` is the first
 /// token.
-async fn read_lines(
+async fn measure_response(
     mut reader: LineReader,
     started_at: Instant,
     token_prefix: &[u8],
@@ -178,35 +179,35 @@
             first_token.get_or_insert_with(|| started_at.elapsed());
         }
     }
-    let whole = started_at.elapsed();
-    Ok(RequestLatencies { first_token: first_token.unwrap_or(whole), whole })
+    let full_response = started_at.elapsed();
+    Ok(RequestLatencies { first_token: first_token.unwrap_or(full_response), full_response })
 }
 
 struct PathHistograms {
     first_token: Histogram<u64>,
-    whole: Histogram<u64>,
+    full_response: Histogram<u64>,
 }
 
 impl PathHistograms {
     fn new() -> Self {
         let new = || Histogram::new(3).expect("valid histogram figures");
-        PathHistograms { first_token: new(), whole: new() }
+        PathHistograms { first_token: new(), full_response: new() }
     }
 
-    fn record(&mut self, times: &RequestLatencies) {
-        let _ = self.first_token.record(times.first_token.as_micros() as u64);
-        let _ = self.whole.record(times.whole.as_micros() as u64);
+    fn record(&mut self, latencies: &RequestLatencies) {
+        let _ = self.first_token.record(latencies.first_token.as_micros() as u64);
+        let _ = self.full_response.record(latencies.full_response.as_micros() as u64);
     }
 
-    fn times(&self) -> PathLatencies {
-        let at = |histogram: &Histogram<u64>, quantile| {
+    fn latencies(&self) -> PathLatencies {
+        let millis_at = |histogram: &Histogram<u64>, quantile| {
             histogram.value_at_quantile(quantile) as f64 / 1000.0
         };
         PathLatencies {
-            first_token_p50: at(&self.first_token, 0.5),
-            first_token_p95: at(&self.first_token, 0.95),
-            whole_p50: at(&self.whole, 0.5),
-            whole_p95: at(&self.whole, 0.95),
+            first_token_p50: millis_at(&self.first_token, 0.5),
+            first_token_p95: millis_at(&self.first_token, 0.95),
+            whole_p50: millis_at(&self.full_response, 0.5),
+            whole_p95: millis_at(&self.full_response, 0.95),
         }
     }
 }
--- a/crates/bench/src/load/arrivals.rs
+++ b/crates/bench/src/load/arrivals.rs
@@ -50,13 +50,13 @@
     let spread = 1.0 + class.prompt_spread * (2.0 * rng.f64() - 1.0);
     let prompt_tokens = (f64::from(class.prompt_tokens) * spread) as u32;
     let hangs_up = rng.f64() < class.cancel_share;
-    let half_target = class.ttft().mul_f64(0.5 * rng.f64());
+    let hang_up_delay = class.ttft().mul_f64(0.5 * rng.f64());
     Arrival {
         due: Duration::from_secs_f64(at),
         class: index,
         number: 0,
         prompt_tokens: prompt_tokens.max(class.prefix_tokens).max(1),
         prefix: rng.u32(0..class.prefixes),
-        hangs_up_after: hangs_up.then_some(half_target.min(Duration::from_millis(400))),
+        hangs_up_after: hangs_up.then_some(hang_up_delay.min(Duration::from_millis(400))),
     }
 }
--- a/crates/bench/src/load/caller.rs
+++ b/crates/bench/src/load/caller.rs
@@ -20,7 +20,7 @@
 
 /// One word of filler text: 4 bytes, about one token.
 const FILLER_WORD: &str = "lor ";
-/// A caller retries only if the requested wait is at most this fraction of its remaining time.
+/// A caller retries only if `Retry-After` is at most this fraction of its remaining time.
 const MAX_RETRY_WAIT_FRACTION: f64 = 1.0 / 3.0;
 
 /// How a caller's request ended.
@@ -60,7 +60,7 @@
 /// Sends `arrival` and retries it after a rejection whose `Retry-After` leaves enough time.
 pub async fn call(workload: &Workload, target: &LoadTarget, arrival: &Arrival) -> CallOutcome {
     let class = &workload.class[arrival.class];
-    let started = Instant::now();
+    let started_at = Instant::now();
     let max_wait = arrival.hangs_up_after.unwrap_or(class.deadline());
     let mut outcome = CallOutcome {
         class: arrival.class,
@@ -71,7 +71,7 @@
         ttft: None,
         tpot: None,
     };
-    let attempts = attempts(workload, target, arrival, started, &mut outcome);
+    let attempts = send_with_retries(workload, target, arrival, started_at, &mut outcome);
     let in_time = attempts
         .or(async {
             smol::Timer::after(max_wait).await;
@@ -86,13 +86,13 @@
     outcome
 }
 
-/// Sends attempts until one is not rejected or no retry is left; returns true once `outcome` is
-/// final.
-async fn attempts(
+/// Sends the request until an attempt is not rejected, no retry is left, or the wait before the
+/// next one is too long. Returns true once `outcome` is final.
+async fn send_with_retries(
     workload: &Workload,
     target: &LoadTarget,
     arrival: &Arrival,
-    started: Instant,
+    started_at: Instant,
     outcome: &mut CallOutcome,
 ) -> bool {
     let class = &workload.class[arrival.class];
@@ -105,12 +105,12 @@
         };
         outcome.status = response.status().as_u16();
         if response.status().is_success() {
-            read_response(class, response, started, outcome).await;
+            read_response(class, response, started_at, outcome).await;
             return true;
         }
         let wait = retry_after(&response);
         record_rejection(response, wait, outcome).await;
-        let left = class.deadline().saturating_sub(started.elapsed());
+        let left = class.deadline().saturating_sub(started_at.elapsed());
         let Some(wait) = wait.map(Duration::from_secs) else {
             return true;
         };
@@ -133,7 +133,7 @@
     outcome.result = if is_rejection { CallResult::Refused } else { CallResult::Failed };
     outcome.refused_without_retry_after = is_rejection && wait.is_none();
     let client = HttpClient::new("-", Duration::from_secs(2));
-    if let Err(error) = client.read_full_body("refusal", response).await {
+    if let Err(error) = client.read_full_body("rejection", response).await {
         outcome.rejection_type = parse_rejection_type(&error).unwrap_or_default();
     }
 }
@@ -179,21 +179,21 @@
 async fn read_response(
     class: &RequestClass,
     response: Response<hyper::body::Incoming>,
-    started: Instant,
+    started_at: Instant,
     outcome: &mut CallOutcome,
 ) {
     if class.kind != RequestKind::Completion {
         let client = HttpClient::new("-", class.deadline());
-        if client.read_full_body("answer", response).await.is_ok() {
+        if client.read_full_body("response", response).await.is_ok() {
             outcome.result = CallResult::Whole;
-            outcome.ttft = Some(started.elapsed());
+            outcome.ttft = Some(started_at.elapsed());
         }
         return;
     }
     outcome.result = CallResult::Cut;
     let mut reader = LineReader::new(response.into_body());
     let mut first: Option<Instant> = None;
-    let mut last = started;
+    let mut last = started_at;
     let mut tokens = 0;
     while let Ok(Some(line)) = reader.next_line().await {
         let Some(data) = line.strip_prefix(b"data: ") else {
@@ -210,7 +210,7 @@
         }
     }
     if let Some(first) = first {
-        outcome.ttft = Some(first - started);
+        outcome.ttft = Some(first - started_at);
         if tokens > 1 {
             outcome.tpot = Some((last - first) / (tokens - 1));
         }
--- a/crates/bench/src/load/mod.rs
+++ b/crates/bench/src/load/mod.rs
@@ -30,7 +30,7 @@
 /// Timeout for reading one engine's statistics.
 const STATS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Where one run's requests go.
+/// The daemons and API keys of one run, and the engines behind the daemons.
 #[derive(Debug, Clone)]
 pub struct LoadTarget {
     /// `host:port` of each daemon, used in rotation.
@@ -51,12 +51,12 @@
 ) -> RunSummary {
     let before = engine_totals(&target.engines).await;
     let outcomes = Arc::new(Mutex::new(Vec::new()));
-    let started = Instant::now();
+    let started_at = Instant::now();
     let mut tasks = Vec::new();
     let mut arrivals = schedule(workload, scale, seed);
     arrivals.truncate(MAX_REQUESTS);
     for arrival in arrivals {
-        smol::Timer::at(started + arrival.due).await;
+        smol::Timer::at(started_at + arrival.due).await;
         let workload = Arc::clone(workload);
         let target = Arc::clone(target);
         let outcomes = Arc::clone(&outcomes);
@@ -68,7 +68,7 @@
     for task in tasks {
         task.await;
     }
-    let elapsed = started.elapsed();
+    let elapsed = started_at.elapsed();
     let after = engine_totals(&target.engines).await;
     let outcomes = std::mem::take(&mut *outcomes.lock().expect("outcomes lock"));
     RunSummary::new(workload, scale, &outcomes, elapsed, after.since(&before))
--- a/crates/bench/src/load/summary.rs
+++ b/crates/bench/src/load/summary.rs
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone, Serialize)]
 pub struct ClassSummary {
     pub class: String,
-    /// Sent, except those on which the caller hung up on purpose.
+    /// Requests sent, except those whose caller hung up, as the workload specifies.
     pub owed: u32,
     pub whole: u32,
     /// Rejections with status 429 or 503.
--- a/crates/bench/src/report/table.rs
+++ b/crates/bench/src/report/table.rs
@@ -40,7 +40,7 @@
 }
 
 /// Formats the mean goodput and wasted prefill of each policy at each load, with the ratio of the
-/// affinity policy to the others.
+/// affinity policy to each other policy.
 pub fn markdown_table(rows: &[ExperimentRow]) -> String {
     let mut table = String::from(
         "| load | policy | goodput | wasted prefill (share) | wasted tokens | goodput vs. it | wasted vs. it |\n|---|---|---|---|---|---|---|\n",
--- a/crates/bench/src/site.rs
+++ b/crates/bench/src/site.rs
@@ -1,6 +1,6 @@
 //! A complete deployment in one process on loopback: platform, engines, plain services and daemons.
-//! Processes start no other processes, so one command runs or measures the complete request path
-//! this way.
+//! A command starts no other processes, so one that runs or measures the complete request path
+//! holds all of them in its own process.
 
 use std::io;
 use std::net::SocketAddr;
@@ -38,7 +38,7 @@
 pub struct LocalSite {
     pub platform: SocketAddr,
     pub engines: Vec<LocalEngine>,
-    servers: usize,
+    server_count: usize,
 }
 
 /// One engine of the site.
@@ -53,7 +53,7 @@
     pub async fn start(lag: Duration) -> io::Result<LocalSite> {
         let config = PlatformConfig { instance_lag: lag, ..PlatformConfig::default() };
         let platform = serve(any_port(), Arc::new(PlatformStandin::new(config))).await?;
-        Ok(LocalSite { platform, engines: Vec::new(), servers: 0 })
+        Ok(LocalSite { platform, engines: Vec::new(), server_count: 0 })
     }
 
     /// Adds an engine and registers it in the instance list.
@@ -64,7 +64,7 @@
         standin.set_listen_addr(addr);
         standin.register(InstanceState::Live).await;
         self.engines.push(LocalEngine { standin, addr });
-        self.servers += 1;
+        self.server_count += 1;
         Ok(())
     }
 
@@ -81,7 +81,7 @@
             state: InstanceState::Live,
         };
         register(&self.platform.to_string(), &entry).await;
-        self.servers += 1;
+        self.server_count += 1;
         Ok(())
     }
 
@@ -132,7 +132,7 @@
     ) -> io::Result<StartedDaemon<P>> {
         let started = start::start(settings, placement, None).await?;
         let deadline = std::time::Instant::now() + READY_TIMEOUT;
-        while started.daemon.status().servers.len() < self.servers {
+        while started.daemon.status().servers.len() < self.server_count {
             if std::time::Instant::now() > deadline {
                 return Err(io::Error::other("a daemon did not list every server in time"));
             }
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -36,7 +36,7 @@
     pub seconds: u64,
     /// Loads to run, as factors on every class's rate.
     pub scales: Vec<f64>,
-    /// Weight of computing a prefix again (see the preset field).
+    /// Weight of computing a prefix again; the preset field of the same name.
     #[serde(default = "recompute_weight")]
     pub recompute_weight: f64,
     pub model: ModelService,
@@ -114,7 +114,7 @@
     /// Fraction of callers who hang up before the response ends.
     #[serde(default)]
     pub cancel_share: f64,
-    /// Maximum retries of a rejected caller that was sent `Retry-After`.
+    /// Maximum retries of a request after rejections with `Retry-After`.
     #[serde(default)]
     pub retries: u32,
 }
--- a/crates/umberctl/src/args.rs
+++ b/crates/umberctl/src/args.rs
@@ -79,8 +79,8 @@
     /// preset name
     #[argh(positional)]
     pub name: String,
-    /// active version as printed by `status`; the command fails if another shift has changed it
-    /// since
+    /// active version as printed by `status`; the command fails if another operator has changed
+    /// it since
     #[argh(option)]
     pub expect_active: u64,
 }
@@ -132,7 +132,8 @@
     pub role: String,
 }
 
-/// Show every daemon, its active fence and whether its lease is live.
+/// Show every daemon, its fencing token (the version of its active preset) and whether its lease is
+/// live.
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "members")]
 pub struct MembersArgs {
@@ -141,7 +142,8 @@
     pub lease_ms: u64,
 }
 
-/// Manage copies of every preset and control row in the object store.
+/// Manage copies, in the object store, of every preset and control row (active preset,
+/// organisations, drains, role orders).
 #[derive(FromArgs, Debug)]
 #[argh(subcommand, name = "snapshot")]
 pub struct SnapshotArgs {
--- a/crates/umberctl/src/commands.rs
+++ b/crates/umberctl/src/commands.rs
@@ -104,8 +104,8 @@
             Ok(format!("{} is to serve {role} (role orders version {})", args.server, row.version))
         }
         Command::Members(args) => {
-            let lines = actions.members(Duration::from_millis(args.lease_ms)).await?;
-            Ok(lines.iter().map(member_line).collect::<Vec<_>>().join("\n"))
+            let members = actions.members(Duration::from_millis(args.lease_ms)).await?;
+            Ok(members.iter().map(member_line).collect::<Vec<_>>().join("\n"))
         }
         Command::Snapshot(args) => snapshot(actions, args.action).await,
     }
@@ -128,8 +128,8 @@
     }
 }
 
-fn member_line(line: &MemberInfo) -> String {
-    let record = &line.record;
+fn member_line(member: &MemberInfo) -> String {
+    let record = &member.record;
     format!(
         "{}\t{}\t{}/{}\tfence {}\t{}\tseen {:.1} s ago{}",
         record.daemon,
@@ -138,8 +138,8 @@
         record.domain,
         record.fence,
         if record.serving { "serving" } else { "stopping" },
-        line.age.as_secs_f64(),
-        if line.is_live { "" } else { "\tLAPSED" },
+        member.age.as_secs_f64(),
+        if member.is_live { "" } else { "\tLAPSED" },
     )
 }
 
--- a/crates/umberctl/src/explain.rs
+++ b/crates/umberctl/src/explain.rs
@@ -9,7 +9,8 @@
 
 use crate::commands::CommandError;
 
-/// Fields that are part of every line's header, so they are not repeated as `name=value`.
+/// Fields that are not printed as `name=value`: each line begins with its time, event and message;
+/// the level is left out, and the request id is the same in all lines.
 const HEADER_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
 /// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
--- a/crates/umberctl/src/main.rs
+++ b/crates/umberctl/src/main.rs
@@ -1,5 +1,5 @@
-//! `umberctl`: the operators' command line. It talks only to the platform's table service, which
-//! is the source of truth, and never to a daemon.
+//! `umberctl`: the operators' command line. It talks only to the platform, whose table service is
+//! the source of truth, and never to a daemon.
 
 mod args;
 mod commands;
--- a/crates/umberglade/src/cli/mod.rs
+++ b/crates/umberglade/src/cli/mod.rs
@@ -1,7 +1,8 @@
 //! The command line of `umberglade`.
 //!
-//! Every setting is a flag and an environment variable of the same name in capitals, prefixed with
-//! `UMBERGLADE_` (`--listen` / `UMBERGLADE_LISTEN`). The flag takes precedence.
+//! A flag whose help names an environment variable can also be set by it: the flag's name in
+//! capitals, prefixed with `UMBERGLADE_` (`--listen` / `UMBERGLADE_LISTEN`). The flag takes
+//! precedence.
 
 mod bench;
 mod gateway;
--- a/crates/umberglade/src/cli/serve.rs
+++ b/crates/umberglade/src/cli/serve.rs
@@ -21,11 +21,11 @@
     /// this instance's region [UMBERGLADE_REGION, default none]
     #[argh(option)]
     pub region: Option<String>,
-    /// milliseconds that a feed request to the platform is held open at most
+    /// maximum milliseconds that a feed request to the platform is held open
     /// [UMBERGLADE_FOLLOW_MS, default 1500]
     #[argh(option)]
     pub follow_ms: Option<u64>,
-    /// milliseconds between renewals of the daemon's lease
+    /// milliseconds between heartbeats, which renew the daemon's lease
     /// [UMBERGLADE_MEMBER_BEAT_MS, default 5000]
     #[argh(option)]
     pub member_beat_ms: Option<u64>,
--- a/crates/umberglade/src/gateway.rs
+++ b/crates/umberglade/src/gateway.rs
@@ -25,18 +25,18 @@
 const DEFAULT_THREADS: usize = 1;
 /// Log lines per second: about ten times what an instance of a small site writes on an ordinary
 /// day, and at most 150 KB a second.
-const DEFAULT_LOG_LINES: u32 = 400;
+const DEFAULT_LOG_LINES_PER_S: u32 = 400;
 
 /// Reads the settings file, then serves until SIGTERM or SIGINT.
 pub fn run(args: GatewayArgs) -> Result<(), StartError> {
-    let lines = setting::resolve_within(
+    let lines_per_s = setting::resolve_within(
         "log-lines",
         "UMBERGLADE_LOG_LINES",
         args.log_lines,
-        DEFAULT_LOG_LINES,
+        DEFAULT_LOG_LINES_PER_S,
         1..=1_000_000,
     )?;
-    let _log_guard = logging::init_json(lines);
+    let _log_guard = logging::init_json(lines_per_s);
     let threads = setting::resolve_within(
         "threads",
         "UMBERGLADE_THREADS",
@@ -46,7 +46,7 @@
     )?;
     let path = setting::resolve("node-file", node_file::PATH_VARIABLE, args.node_file, None)?;
     let path = PathBuf::from(path);
-    let mut settings = node_file::read(&path).map_err(failed)?;
+    let mut settings = node_file::read(&path).map_err(start_error)?;
     settings.metrics = metrics_address(args.metrics_port, &settings)?;
     pool::start(threads);
     pool::block_on(serve(path, settings))
@@ -67,10 +67,12 @@
 }
 
 async fn serve(path: PathBuf, settings: GatewaySettings) -> Result<(), StartError> {
-    let mut signals = Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(failed)?;
-    let state = start::start::<UsersPlatform>(settings, install_metrics()).await.map_err(failed)?;
+    let mut signals =
+        Signals::new([Signal::Term, Signal::Int, Signal::Hup]).map_err(start_error)?;
+    let state =
+        start::start::<UsersPlatform>(settings, install_metrics()).await.map_err(start_error)?;
     while let Some(signal) = signals.next().await {
-        match signal.map_err(failed)? {
+        match signal.map_err(start_error)? {
             Signal::Hup => reload(&path, &state),
             _ => break,
         }
@@ -102,6 +104,6 @@
     }
 }
 
-fn failed(error: impl std::fmt::Display) -> StartError {
+fn start_error(error: impl std::fmt::Display) -> StartError {
     StartError::Failed { message: error.to_string() }
 }
--- a/crates/umberglade/src/latency.rs
+++ b/crates/umberglade/src/latency.rs
@@ -28,9 +28,12 @@
     Ok(())
 }
 
-fn print_path(name: &str, times: &PathLatencies) {
+fn print_path(name: &str, latencies: &PathLatencies) {
     println!(
         "{name:<7} first token p50 {:.2} ms p95 {:.2} ms  whole answer p50 {:.2} ms p95 {:.2} ms",
-        times.first_token_p50, times.first_token_p95, times.whole_p50, times.whole_p95
+        latencies.first_token_p50,
+        latencies.first_token_p95,
+        latencies.whole_p50,
+        latencies.whole_p95
     );
 }
--- a/crates/umberglade/src/line_limit.rs
+++ b/crates/umberglade/src/line_limit.rs
@@ -18,7 +18,7 @@
     started_at: Instant,
     written: u32,
     dropped: u64,
-    /// Lines dropped by the queue behind this limit, as of the window's start.
+    /// Lines dropped by the queue behind this limit between process start and the window's start.
     queue_dropped: u64,
     /// Lines dropped between process start and the window's start. Every report of dropped lines
     /// includes this total, because the reporting line may itself be dropped.
--- a/crates/umberglade/src/serve.rs
+++ b/crates/umberglade/src/serve.rs
@@ -80,7 +80,7 @@
         DEFAULT_FEED_WAIT.as_millis() as u64,
         50..=60_000,
     )?;
-    let beat_ms = setting::resolve_within(
+    let heartbeat_ms = setting::resolve_within(
         "member-beat-ms",
         "UMBERGLADE_MEMBER_BEAT_MS",
         args.member_beat_ms,
@@ -124,7 +124,7 @@
         )?,
         incarnation: fastrand::u64(..),
         feed_wait: Duration::from_millis(follow_ms),
-        heartbeat_interval: Duration::from_millis(beat_ms),
+        heartbeat_interval: Duration::from_millis(heartbeat_ms),
         record_retention: Duration::from_secs(retention_s),
         platform_timeout: DEFAULT_PLATFORM_TIMEOUT,
         threads,
@@ -150,6 +150,7 @@
     println!("listening on {local}");
     wait_for_stop().await;
     daemon.begin_drain();
+    // Whether every request ended before the timeout.
     let whole = daemon.wait_until_drained(DRAIN_TIMEOUT).await;
     tracing::info!(
         event = events::DAEMON_DRAINING,
--- a/crates/umberglade/tests/at_most_once.rs
+++ b/crates/umberglade/tests/at_most_once.rs
@@ -60,7 +60,7 @@
     get_json(desk, "/v1/stats")
 }
 
-/// How a client sends the same booking several times, and how the platform behaves meanwhile.
+/// How a caller sends the same booking several times, and how the platform behaves meanwhile.
 struct RetryCase {
     name: &'static str,
     /// Number of calls sent one after another with the same key.
@@ -71,10 +71,9 @@
     lose_replies: bool,
 }
 
-/// Guards against double bookings when a client sends a call again because the first response was
-/// slow, when its retries race, or when the table service loses the replies to writes of the
-/// idempotency record. The slot must be booked once, and every successful response must carry that
-/// booking.
+/// A caller sends a call again because the first response was slow, its retries race, or the table
+/// service loses the replies to writes of the idempotency record. The slot must be booked once, not
+/// twice, and every successful response must carry that booking.
 #[test]
 fn booking_runs_at_most_once_under_retries() {
     let cases = [
@@ -157,9 +156,9 @@
     runs_after: u64,
 }
 
-/// Guards against running a call twice after a failure. The booking-desk rejects a call, fails
-/// halfway through it, or runs it and never responds, and the client retries with the same key.
-/// Only the rejected call may run on the retry; the others have run already.
+/// The booking-desk rejects a call, fails halfway through it, or runs it and never responds, and
+/// the caller retries with the same key. Only the rejected call may run on the retry; the other two
+/// have run already and must not run twice.
 #[test]
 fn call_that_may_have_run_is_not_run_again() {
     let cases = [
@@ -211,7 +210,7 @@
 
 /// The table service stores the claim of a booking and becomes unavailable before it replies, so
 /// the daemon can't tell whether it holds the key and rejects the call as not run. When the service
-/// is available again the client retries with the same key: the orphaned claim must not block it,
+/// is available again the caller retries with the same key: the orphaned claim must not block it,
 /// and the booking runs exactly once.
 #[test]
 fn orphaned_claim_does_not_block_its_key() {
@@ -237,7 +236,7 @@
     assert_eq!(desk_stats(&desk.addr).executions, 1);
 }
 
-/// A lookup may be retried: when one of two desks rejects all work, the other one still answers
+/// A lookup may be retried: when one of two desks rejects all work, the other one still responds to
 /// every lookup.
 #[test]
 fn lookups_fail_over_to_another_server() {
--- a/crates/umberglade/tests/caller_disconnects.rs
+++ b/crates/umberglade/tests/caller_disconnects.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// A client hangs up, or the daemon is killed, at each stage of a request: during a long prefill
+/// A caller hangs up, or the daemon is killed, at each stage of a request: during a long prefill
 /// (1.2 s), during a stalled KV cache transfer, while tokens stream (4 s), and while the stream is
 /// silent. Covers engines that end work when its connection closes and engines that ignore it.
 /// Nobody will read the response, so every engine must hold nothing within seconds.
@@ -135,7 +135,7 @@
 }
 
 /// The daemon's machine is paused in the middle of a response: its sockets stay open and nothing is
-/// cancelled. The decode server releases the request on its own when the deadline carried by the
+/// cancelled. The decode server releases the request by itself when the deadline carried by the
 /// order has passed.
 #[test]
 fn engines_release_requests_of_a_paused_daemon_at_the_deadline() {
--- a/crates/umberglade/tests/gateway_process.rs
+++ b/crates/umberglade/tests/gateway_process.rs
@@ -28,7 +28,7 @@
 /// A gateway and its standard output; killed when dropped.
 struct Gateway {
     child: Child,
-    lines: BufReader<ChildStdout>,
+    log: BufReader<ChildStdout>,
     front: String,
     metrics: String,
     node_file: PathBuf,
@@ -55,9 +55,9 @@
             .stdout(Stdio::piped())
             .spawn()
             .expect("starting umberglade");
-        let lines = BufReader::new(child.stdout.take().expect("piped stdout"));
+        let log = BufReader::new(child.stdout.take().expect("piped stdout"));
         let (front, metrics) = (String::new(), String::new());
-        let mut gateway = Gateway { child, lines, front, metrics, node_file };
+        let mut gateway = Gateway { child, log, front, metrics, node_file };
         let started = gateway.next_event(7001);
         gateway.front = started["front"].as_str().expect("an address").to_owned();
         gateway.metrics = started["metrics"].as_str().expect("an address").to_owned();
@@ -71,7 +71,7 @@
         loop {
             assert!(Instant::now() < deadline, "no event {number}");
             line.clear();
-            let length = self.lines.read_line(&mut line).expect("reading the log");
+            let length = self.log.read_line(&mut line).expect("reading the log");
             assert!(length > 0, "the log ended before event {number}");
             let event: serde_json::Value = serde_json::from_str(&line).expect("a JSON line");
             if event["event"] == number {
@@ -136,7 +136,7 @@
     receiver.recv_timeout(HANG_TIMEOUT).expect("a started site")
 }
 
-/// The reader of the log stops reading and the pipe fills up. Requests must still be answered:
+/// The reader of the log stops reading and the pipe fills up. Requests must still get responses:
 /// lines are dropped instead, and the log reports this once it is read again.
 #[test]
 fn unread_log_does_not_block_requests() {
@@ -158,7 +158,7 @@
     });
     for _ in 0..1500 {
         let mut line = String::new();
-        gateway.lines.read_line(&mut line).expect("reading the log");
+        gateway.log.read_line(&mut line).expect("reading the log");
     }
     thread::sleep(Duration::from_millis(1100));
     assert_eq!(gateway.call(&agent(), "/safe/x", "after"), 200);
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -36,8 +36,8 @@
 
 /// Returns the number of daemons whose lease is live by the table service's clock.
 fn live_members(platform: &str) -> usize {
-    let lines = run(actions(platform).members(LEASE)).unwrap();
-    lines.iter().filter(|line| line.is_live).count()
+    let members = run(actions(platform).members(LEASE)).unwrap();
+    members.iter().filter(|member| member.is_live).count()
 }
 
 /// Returns the daemon that the leader row names.
@@ -163,9 +163,9 @@
 }
 
 /// The leader is paused; another daemon becomes leader and orders a server to change its role. The
-/// paused daemon resumes with the stale state that it is the leader. The server ignores fencing
-/// tokens, so only the daemon itself and the order's sequence number protect it: exactly one order
-/// must have been accepted, and the server must keep the role of that order.
+/// paused daemon resumes with stale state, by which it is still the leader. The server ignores
+/// fencing tokens, so only the daemon itself and the order's sequence number protect it: exactly
+/// one order must have been accepted, and the server must keep the role of that order.
 #[test]
 fn paused_leader_sends_no_order_after_resuming() {
     let platform = start_platform("0");
--- a/crates/umberglade/tests/propagation.rs
+++ b/crates/umberglade/tests/propagation.rs
@@ -1,5 +1,5 @@
-//! An activated preset is active everywhere within seconds, and a leaving server gets no new work
-//! within seconds. Neither cuts a request.
+//! An activated preset is active everywhere within seconds, and a drained or removed server gets no
+//! new work within seconds. Neither cuts a request.
 
 mod support;
 
@@ -107,8 +107,8 @@
 
 /// A decode server is stopped by plan or killed while four callers keep sending requests, and the
 /// instance list shows it only 3 s later. In a planned stop the server rejects nothing that it
-/// holds; a killed server answers nothing. No caller may see a cut or rejected request, and within
-/// a second no more work may be sent to the removed server.
+/// holds; a killed server responds to nothing. No caller may see a cut or rejected request, and
+/// within a second no more work may be sent to the removed server.
 #[test]
 fn leaving_server_fails_no_request() {
     let cases = [
--- a/crates/umberglade/tests/support/mod.rs
+++ b/crates/umberglade/tests/support/mod.rs
@@ -182,7 +182,7 @@
     }
 }
 
-/// Runs `task` to its end.
+/// Runs `task` to completion.
 pub fn run<F: Future>(task: F) -> F::Output {
     umberglade_wire::pool::block_on(task)
 }
@@ -202,7 +202,7 @@
         .expect("a response");
 }
 
-/// Reads what the engine at `addr` holds and has done.
+/// Reads the statistics of the engine at `addr`.
 pub fn engine_stats(addr: &str) -> EngineStats {
     get_json(addr, "/v1/stats")
 }
@@ -212,7 +212,7 @@
     post_json(addr, "/v1/faults", faults);
 }
 
-/// Injects `plan` into the platform at `addr`.
+/// Injects `plan` into the platform stand-in at `platform`.
 pub fn set_faults(platform: &str, plan: &FaultPlan) {
     post_json(platform, "/v1/faults", plan);
 }
