--- a/crates/gateway/src/cluster/admission_queue.rs
+++ b/crates/gateway/src/cluster/admission_queue.rs
@@ -106,8 +106,8 @@
 /// those of greater: when capacity does not suffice for all, this order serves the most callers
 /// within target. Requests past their target share the remaining capacity in the order of their
 /// callers' first requests, because a caller that has been rejected once does not retry a second
-/// time. In a burst longer than the target, first-come-first-served would make every response late;
-/// with this order, requests past their target do not delay the others past theirs.
+/// time. In a burst longer than the target, first-come-first-served would make every response miss
+/// its target; with this order, requests past their target do not delay the others past theirs.
 #[derive(Debug, Default)]
 pub struct AdmissionQueue {
     queued: BTreeMap<Ticket, QueuedRequest>,
--- a/crates/gateway/src/cluster/first_event_time.rs
+++ b/crates/gateway/src/cluster/first_event_time.rs
@@ -20,8 +20,8 @@
 /// Maximum fraction of the latency target that a stream is assumed to need for its first event.
 ///
 /// Prevents a queue in which no request counts as able to be within its target: it would fall back
-/// to first-come-first-served, where new requests wait behind those past their target and become
-/// late in turn.
+/// to first-come-first-served, where new requests wait behind those past their target and then
+/// miss theirs too.
 const MAX_TARGET_FRACTION: f64 = 0.5;
 /// Number of mean deviations added to the mean, so that nine of ten streams start within the sum.
 const DEVIATION_FACTOR: f64 = 1.6;
--- a/crates/gateway/src/cluster/quarantine.rs
+++ b/crates/gateway/src/cluster/quarantine.rs
@@ -21,7 +21,7 @@
 /// Number of probes that distinguish a fingerprint from others quarantined for the same
 /// server crashes, before it counts as poison like any other.
 pub(super) const ISOLATION_PROBES: u32 = 5;
-/// Time between two probes that distinguish fingerprints. A stream that has begun shows
+/// Time between two probes that distinguish fingerprints. A started stream shows
 /// within this time whether its server survives.
 const ISOLATION_INTERVAL: Duration = Duration::from_millis(600);
 /// A claim of the probe is settled within this time, or has failed.
--- a/crates/gateway/src/cluster/quarantine_verdict.rs
+++ b/crates/gateway/src/cluster/quarantine_verdict.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 #[strum(serialize_all = "snake_case")]
 pub enum QuarantineChange {
-    /// The quarantine has begun.
+    /// The quarantine has started.
     HeldBack,
     /// The quarantine has ended.
     Cleared,
--- a/crates/gateway/src/cluster/table_readers.rs
+++ b/crates/gateway/src/cluster/table_readers.rs
@@ -26,7 +26,7 @@
 const HEAVY_LINK_DELAY: Duration = Duration::from_millis(400);
 /// Window over which gateways take over from readers whose links are loaded more.
 const RELIEF_WINDOW: Duration = Duration::from_secs(3);
-/// Longest time until a listener checks its role again.
+/// Longest time until a receiver checks its role again.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Notice of a gateway's own read of a table, as reported to its peers.
@@ -53,8 +53,8 @@
 pub enum ReadRole {
     /// Reads the store, for itself or for its peers.
     Reader,
-    /// Relies on its peers' reads and checks again at `until`.
-    Listener { until: Instant },
+    /// Receives rows from its peers, and checks again at `until`.
+    Receiver { until: Instant },
 }
 
 /// The readers of one table, as one gateway sees them.
@@ -117,7 +117,7 @@
         self.is_heavy = is_heavy;
     }
 
-    /// Records that a local read failed: a peer may be better placed to read for all.
+    /// Records that a local read failed: a peer may be better placed to read for its peers.
     pub fn record_failure(&mut self) {
         self.is_reader = false;
         self.shortage_since = None;
@@ -174,7 +174,7 @@
                 return self.become_reader();
             }
         }
-        ReadRole::Listener { until: expires_at.min(now + POLL_INTERVAL) }
+        ReadRole::Receiver { until: expires_at.min(now + POLL_INTERVAL) }
     }
 
     /// Returns true if this gateway is one of the few that send rows to all their peers.
--- a/crates/gateway/src/forward/plain_run.rs
+++ b/crates/gateway/src/forward/plain_run.rs
@@ -45,20 +45,20 @@
 /// Hedge delay of routes without a target latency.
 const DEFAULT_HEDGE_DELAY: Duration = Duration::from_millis(300);
 
-/// The outcome of one attempt.
-enum AttemptOutcome {
+/// The outcome of one attempt of a plain call.
+enum PlainOutcome {
     /// The server's complete response.
     Responded(Response<GatewayBody>),
     Failed(AttemptFailure),
 }
 
-impl AttemptOutcome {
+impl PlainOutcome {
     fn is_final(&self, call: &Call) -> bool {
         match self {
-            AttemptOutcome::Responded(response) => {
+            PlainOutcome::Responded(response) => {
                 !(call.route.is_retryable() && response.status().is_server_error())
             }
-            AttemptOutcome::Failed(_) => false,
+            PlainOutcome::Failed(_) => false,
         }
     }
 }
@@ -100,7 +100,7 @@
             }
         };
         if outcome.is_final(&call) {
-            let AttemptOutcome::Responded(response) = outcome else {
+            let PlainOutcome::Responded(response) = outcome else {
                 unreachable!("only responses are final")
             };
             return complete(&call, response, &attempts);
@@ -111,20 +111,16 @@
 }
 
 /// Records an outcome that is not final.
-fn record_non_final(
-    outcome: AttemptOutcome,
-    attempts: &mut Attempts,
-    earlier: &mut EarlierOutcomes,
-) {
+fn record_non_final(outcome: PlainOutcome, attempts: &mut Attempts, earlier: &mut EarlierOutcomes) {
     match outcome {
-        AttemptOutcome::Responded(response) => {
+        PlainOutcome::Responded(response) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
             earlier.error_response = Some(response);
         }
-        AttemptOutcome::Failed(AttemptFailure::Unsent) => attempts.record_unsent(),
-        AttemptOutcome::Failed(failure) if failure.is_not_run() => {}
-        AttemptOutcome::Failed(_) => {
+        PlainOutcome::Failed(AttemptFailure::Unsent) => attempts.record_unsent(),
+        PlainOutcome::Failed(failure) if failure.is_not_run() => {}
+        PlainOutcome::Failed(_) => {
             attempts.runs += 1;
             earlier.may_have_run = true;
         }
@@ -148,11 +144,11 @@
 async fn run_with_hedge<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     call: &Arc<Call>,
-    mut first: std::pin::Pin<&mut impl Future<Output = AttemptOutcome>>,
+    mut first: std::pin::Pin<&mut impl Future<Output = PlainOutcome>>,
     after: Duration,
     attempts: &mut Attempts,
     earlier: &mut EarlierOutcomes,
-) -> Option<AttemptOutcome> {
+) -> Option<PlainOutcome> {
     if let Some(outcome) = with_deadline(Instant::now() + after, first.as_mut()).await {
         return Some(outcome);
     }
@@ -214,9 +210,9 @@
     call: &Arc<Call>,
     server: ServerKey,
     permit: AttemptPermit,
-) -> AttemptOutcome {
+) -> PlainOutcome {
     let Some(target) = exchange::send_target(state, &server) else {
-        return AttemptOutcome::Failed(AttemptFailure::Unsent);
+        return PlainOutcome::Failed(AttemptFailure::Unsent);
     };
     let _load_guard = LoadGuard::begin(state, server, LoadShare::of_call());
     let time_left = call.time_left(Instant::now());
@@ -228,7 +224,7 @@
     };
     match exchange::exchange::<C>(state, call, &target, &attempt_spec, permit, time_left).await {
         Ok(opened) => read_response::<C>(state, call, &target, opened).await,
-        Err(failure) => AttemptOutcome::Failed(failure),
+        Err(failure) => PlainOutcome::Failed(failure),
     }
 }
 
@@ -238,7 +234,7 @@
     call: &Call,
     target: &SendTarget,
     opened: OpenResponse,
-) -> AttemptOutcome {
+) -> PlainOutcome {
     let (parts, body) = opened.response.into_parts();
     let read = match with_deadline(call.deadline, body.collect()).await {
         Some(Ok(collected)) => Ok(collected.to_bytes()),
@@ -248,7 +244,7 @@
     let body: Bytes = match read {
         Ok(body) => body,
         Err((failure, problem)) => {
-            return AttemptOutcome::Failed(exchange::record_failure(
+            return PlainOutcome::Failed(exchange::record_failure(
                 state, call, target, failure, &problem,
             ));
         }
@@ -264,7 +260,7 @@
     let mut response = Response::new(response_body::full(body));
     *response.status_mut() = parts.status;
     *response.headers_mut() = C::response_headers(&parts.headers);
-    AttemptOutcome::Responded(response)
+    PlainOutcome::Responded(response)
 }
 
 fn complete(
--- a/crates/gateway/src/store/table_coordinator.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -43,7 +43,7 @@
     /// When this gateway first read the table.
     first_read_at: Option<Instant>,
     /// True while this gateway relies on its peers' reads of the table.
-    is_listener: bool,
+    is_receiver: bool,
 }
 
 impl TableCoordinator {
@@ -54,7 +54,7 @@
             table,
             row_set: TableRowSet::default(),
             first_read_at: None,
-            is_listener: false,
+            is_receiver: false,
         }
     }
 
@@ -63,9 +63,9 @@
         let now = Instant::now();
         let rank = self.rank(now);
         let role = self.shared_table().readers().role(rank, now);
-        let is_listener = role != ReadRole::Reader;
-        if is_listener != self.is_listener {
-            self.is_listener = is_listener;
+        let is_receiver = role != ReadRole::Reader;
+        if is_receiver != self.is_receiver {
+            self.is_receiver = is_receiver;
             self.log_role(rank, now);
         }
         role
@@ -80,7 +80,7 @@
         tracing::info!(
             event = events::READ_ROLE_CHANGED,
             table = %self.table,
-            outcome = if self.is_listener { "told by others" } else { "reads" },
+            outcome = if self.is_receiver { "told by others" } else { "reads" },
             readers,
             gateways_heard = rank.peers,
             age_ms = age.map(|age| age.as_millis() as u64),
--- a/crates/gateway/src/store/table_follower.rs
+++ b/crates/gateway/src/store/table_follower.rs
@@ -132,7 +132,7 @@
     fn listen_until(&mut self) -> Option<Instant> {
         match self.coordinator.as_mut()?.role() {
             ReadRole::Reader => None,
-            ReadRole::Listener { until } => Some(until),
+            ReadRole::Receiver { until } => Some(until),
         }
     }
 
--- a/crates/gateway/tests/admission_queue.rs
+++ b/crates/gateway/tests/admission_queue.rs
@@ -52,7 +52,8 @@
 }
 
 /// A burst of twice the engines' capacity for 5 s. First-come-first-served would soon make every
-/// response late; here the excess waits or is rejected, and most responses are within target.
+/// response miss its target; here the excess waits or is rejected, and most responses are within
+/// target.
 #[test]
 fn a_burst_of_twice_the_capacity() {
     let start = Instant::now();
@@ -258,8 +259,9 @@
     }
 }
 
-/// Rejected callers retry with a shorter timeout than they started with. They are late in any case
-/// and must not be taken for new callers, who would wait behind them and be late too.
+/// Rejected callers retry with a shorter timeout than they started with. They are past their
+/// target in any case and must not be taken for new callers, who would wait behind them and miss
+/// their target too.
 #[test]
 fn a_retrying_caller_is_recognised_by_its_shorter_timeout() {
     struct TimeoutCase {
@@ -355,8 +357,8 @@
 }
 
 /// A long queue of requests past their target must not cause the rejection of a new one, which goes
-/// before them. Many requests within target at peers must, at once: the new request would be late,
-/// and then wait behind all.
+/// before them. Many requests within target at peers must, at once: the new request would miss its
+/// target, and then wait behind all.
 #[test]
 fn new_requests_are_judged_by_those_ahead_of_them() {
     struct Case {
@@ -384,9 +386,9 @@
     }
 }
 
-/// A rejected caller retries into a queue of late requests. It has been waiting longest and will
-/// not retry again, so it goes before those that have just become late, and behind those within
-/// target.
+/// A rejected caller retries into a queue of requests past their target. It has been waiting
+/// longest and will not retry again, so it goes before those that have just passed their target,
+/// and behind those within target.
 #[test]
 fn retrying_callers_go_first_among_those_past_target() {
     let start = Instant::now();
--- a/crates/gateway/tests/first_event_time.rs
+++ b/crates/gateway/tests/first_event_time.rs
@@ -20,9 +20,9 @@
     first_event_time
 }
 
-/// Requests are placed from a full queue just before their response would start late. With the mean
-/// time to first event alone, a third of all responses placed in a burst miss their target by less
-/// than 0.1 s.
+/// Requests are placed from a full queue just before their response would miss its target. With the
+/// mean time to first event alone, a third of all responses placed in a burst miss their target by
+/// less than 0.1 s.
 #[test]
 fn nine_of_ten_streams_begin_within_p90() {
     let cases = [
@@ -46,7 +46,7 @@
 
 /// All gateways restart and every caller returns at once: prompts queue, and streams take 1.5 s to
 /// start. A gateway serves two streams per second. If these samples count for too long, no new
-/// request can be within target for 12 s, so that all wait in order of arrival and are late.
+/// request can be within target for 12 s, so that all wait in order of arrival and miss theirs.
 #[test]
 fn the_estimate_recovers_soon_after_a_slow_start() {
     const TARGET: Duration = Duration::from_millis(900);
--- a/crates/gateway/tests/placement.rs
+++ b/crates/gateway/tests/placement.rs
@@ -299,7 +299,7 @@
 /// Prevents gateways from all choosing the same servers. Eighty gateways each place a stream within
 /// one report interval, before any of them receives reports of these placements. With the same
 /// ranking at all of them, every prompt queues at one prefill server and one decode server runs out
-/// of memory while the others are idle, and first tokens are late.
+/// of memory while the others are idle, and first tokens miss their target.
 #[test]
 fn gateways_with_the_same_state_choose_different_servers() {
     struct SpreadCase {
--- a/crates/gateway/tests/table_readers.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -67,7 +67,7 @@
             Step::ReadsAmongFew => assert_eq!(readers.role(few, now), ReadRole::Reader, "{what}"),
             Step::Listens => match readers.role(MANY_PEERS, now) {
                 ReadRole::Reader => panic!("{what}: reads"),
-                ReadRole::Listener { until } => assert!(until > now, "{what}"),
+                ReadRole::Receiver { until } => assert!(until > now, "{what}"),
             },
             Step::Sends(sends) => assert_eq!(readers.local_notice(now).is_some(), sends, "{what}"),
         }
@@ -208,7 +208,7 @@
         for peer in 1..=3 {
             readers.apply_peer_notice(peer, notice(now, false));
         }
-        assert!(matches!(readers.role(rank, now), ReadRole::Listener { .. }));
+        assert!(matches!(readers.role(rank, now), ReadRole::Receiver { .. }));
         // The first of the three sends no more notices.
         let mut at = now;
         while at < now + Duration::from_millis(1500 + after_ms) {
@@ -269,12 +269,12 @@
         let is_reader = readers.role(MANY_PEERS, started_at) == ReadRole::Reader;
         assert_eq!(is_reader, case.is_reader, "{}", case.name);
     }
-    // A listener takes over from readers whose links are loaded more.
+    // A receiver takes over from readers whose links are loaded more.
     let started_at = Instant::now() + Duration::from_secs(60);
     let mut readers = TableReaders::new(LOCAL, BOUND, 0.5);
     readers.record_read(HELD, started_at);
     (1..=3).for_each(|peer| readers.apply_peer_notice(peer, notice(started_at, false)));
-    assert!(matches!(readers.role(MANY_PEERS, started_at), ReadRole::Listener { .. }));
+    assert!(matches!(readers.role(MANY_PEERS, started_at), ReadRole::Receiver { .. }));
     let takes_over = (1..=60).any(|step| {
         let now = started_at + Duration::from_millis(50) * step;
         (1..=3).for_each(|peer| readers.apply_peer_notice(peer, notice(now, true)));
--- a/crates/router/src/daemon.rs
+++ b/crates/router/src/daemon.rs
@@ -136,7 +136,7 @@
         rejected > 0 && self.shared.control.current().fence <= rejected
     }
 
-    /// Returns true once a graceful stop has begun.
+    /// Returns true once a graceful stop has started.
     pub fn is_draining(&self) -> bool {
         self.shared.draining.load(Ordering::Acquire)
     }
