--- a/crates/gateway/tests/table_readers.rs
+++ b/crates/gateway/tests/table_readers.rs
@@ -1,4 +1,4 @@
-//! Which gateways read a table of the store, and which listen to them.
+//! Which gateways read a table of the store, and which receive rows from them.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -33,7 +33,7 @@
     Wait(u64),
     /// The expected role.
     Reads,
-    Listens,
+    Receives,
     /// The expected role among few gateways.
     ReadsAmongFew,
     /// Whether it sends its peers a notice of its read.
@@ -65,7 +65,7 @@
             Step::Wait(millis) => now += Duration::from_millis(millis),
             Step::Reads => assert_eq!(readers.role(MANY_PEERS, now), ReadRole::Reader, "{what}"),
             Step::ReadsAmongFew => assert_eq!(readers.role(few, now), ReadRole::Reader, "{what}"),
-            Step::Listens => match readers.role(MANY_PEERS, now) {
+            Step::Receives => match readers.role(MANY_PEERS, now) {
                 ReadRole::Reader => panic!("{what}: reads"),
                 ReadRole::Receiver { until } => assert!(until > now, "{what}"),
             },
@@ -82,16 +82,16 @@
     Step::PeerReads { peer, fingerprint, age_ms: 100 }
 }
 
-/// A gateway that listens to three readers of the content it holds, followed by `steps`.
-fn listener_case(name: &'static str, steps: &[Step]) -> RoleCase {
-    let listening = [
+/// A gateway that receives notices of three readers of the content it holds, followed by `steps`.
+fn receiver_case(name: &'static str, steps: &[Step]) -> RoleCase {
+    let receiving = [
         Step::Read(HELD),
         peer_reads(1, HELD),
         peer_reads(2, HELD),
         peer_reads(3, HELD),
-        Step::Listens,
+        Step::Receives,
     ];
-    RoleCase { name, steps: [&listening, steps].concat() }
+    RoleCase { name, steps: [&receiving, steps].concat() }
 }
 
 #[test]
@@ -111,7 +111,7 @@
                 peer_reads(1, HELD),
                 peer_reads(2, HELD),
                 peer_reads(3, HELD),
-                Listens,
+                Receives,
                 Sends(false),
             ],
         },
@@ -143,7 +143,7 @@
                 peer_reads(202, HELD),
                 peer_reads(203, HELD),
                 ReadFailed,
-                Listens,
+                Receives,
             ],
         },
     ];
@@ -151,35 +151,35 @@
 }
 
 /// A reader that freezes, dies or loses the store stops sending notices. A server that starts
-/// draining meanwhile must not get work from the listening gateways beyond the time in which that
+/// draining meanwhile must not get work from the receiving gateways beyond the time in which that
 /// must be known: each of them reads for itself after half of that time without notices.
 #[test]
 fn silent_readers_are_replaced_in_time() {
     use Step::*;
     let old_read = |peer| PeerReads { peer, fingerprint: HELD, age_ms: 5000 };
     let cases = [
-        listener_case("all stop sending notices", &[Wait(1390), Listens, Wait(120), Reads]),
-        listener_case(
+        receiver_case("all stop sending notices", &[Wait(1390), Receives, Wait(120), Reads]),
+        receiver_case(
             "one of three continues",
-            &[Wait(1000), peer_reads(1, HELD), Wait(1000), Listens],
+            &[Wait(1000), peer_reads(1, HELD), Wait(1000), Receives],
         ),
-        listener_case(
+        receiver_case(
             "a suspended reader reports an old read",
             &[Wait(1450), old_read(1), old_read(2), old_read(3), Wait(60), Reads],
         ),
-        listener_case(
+        receiver_case(
             "the readers hold rows that were lost on the way here",
             &[
                 Wait(700),
                 peer_reads(1, OTHER),
                 peer_reads(2, OTHER),
                 peer_reads(3, OTHER),
-                Listens,
+                Receives,
                 Wait(810),
                 Reads,
             ],
         ),
-        listener_case(
+        receiver_case(
             "the lost rows arrive later",
             &[
                 Wait(700),
@@ -188,7 +188,7 @@
                 peer_reads(3, OTHER),
                 PeerRows(OTHER),
                 Wait(810),
-                Listens,
+                Receives,
             ],
         ),
     ];
