--- a/crates/gateway/src/cluster/peer_reports.rs
+++ b/crates/gateway/src/cluster/peer_reports.rs
@@ -180,7 +180,7 @@
                 let age = now.saturating_duration_since(report.received_at);
                 queue.first_age_ms = queue.first_age_ms.saturating_add(age.as_millis() as u32);
                 let ahead = if queue.is_first_late { queue.waiting } else { 1 };
-                (queue.waiting > 0 && queue.goes_before(local)).then_some(ahead as usize)
+                (queue.waiting > 0 && queue.precedes(local)).then_some(ahead as usize)
             })
             .sum()
     }
@@ -214,7 +214,7 @@
         mut estimates: Vec<(u64, EngineEstimates)>,
         now: Instant,
     ) {
-        estimates.retain(|(_, of)| of.is_reliable());
+        estimates.retain(|(_, of)| of.is_valid());
         self.estimates.insert(server_digest(peer), PeerEstimates { estimates, as_of: now });
     }
 
--- a/crates/gateway/src/forward/capacity_wait.rs
+++ b/crates/gateway/src/forward/capacity_wait.rs
@@ -35,7 +35,7 @@
 use crate::timing::by_deadline;
 
 /// Time from the placement to the first event, used where the service's own estimate is not.
-pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::UNKNOWN;
+pub(super) const DEFAULT_FIRST_EVENT_TIME: Duration = FirstEventTime::DEFAULT;
 /// Poll interval of the head of the queue: a server may gain capacity without an event at
 /// this gateway.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
@@ -68,7 +68,7 @@
         let now = Instant::now();
         self.state
             .service_queues
-            .with_line(&self.call.service, |queue| queue.leave(self.ticket, self.is_placed, now));
+            .with_queue(&self.call.service, |queue| queue.leave(self.ticket, self.is_placed, now));
         self.state.room.notify(usize::MAX);
     }
 }
@@ -84,18 +84,18 @@
 ) -> Result<PlacedStream, Response<GatewayBody>> {
     let now = Instant::now();
     let estimates = state.learned(&call.service);
-    let run_time = estimates.outputs.run_time(shape.expected_output());
+    let run_time = estimates.outputs.generation_time(shape.expected_output());
     let queue_request = QueueRequest {
-        occupancy: kv_token_millis(shape, estimates.opening.likely() + run_time),
-        on_time_until: latest_on_time_start(call, &estimates.opening),
-        tried_for: call.tried_for,
+        occupancy: kv_token_millis(shape, estimates.opening.p90() + run_time),
+        target_deadline: latest_on_time_start(call, &estimates.opening),
+        retrying_for: call.tried_for,
     };
     let deadline = queue_deadline(call, run_time);
     let max_wait = deadline.saturating_duration_since(now);
     let peers = state.other_lines(&call.service);
     let joined = state
         .service_queues
-        .with_line(&call.service, |queue| queue.join(queue_request, max_wait, peers, now));
+        .with_queue(&call.service, |queue| queue.join(queue_request, max_wait, peers, now));
     let ticket = joined.map_err(|rejection| {
         log_no_capacity(state, call, peers, rejection.predicted);
         reject_call(call, Rejection::NoRoom, Some(rejection.retry_after), 0)
@@ -117,7 +117,7 @@
         }
         let now = Instant::now();
         let head_since =
-            state.service_queues.with_line(&call.service, |queue| queue.leads_since(ticket, now));
+            state.service_queues.with_queue(&call.service, |queue| queue.head_since(ticket, now));
         let earliest_placement = head_since.map(|since| earliest_placement(state, call, since));
         if earliest_placement.is_some_and(|at| now < at) && !is_reported {
             state.work_changed.notify(1);
@@ -142,7 +142,9 @@
                     return Err(reject_call(call, Rejection::RateLimited, after, 0));
                 }
                 Err(PlacementError::NoRoom) => {
-                    state.service_queues.with_line(&call.service, AdmissionQueue::note_no_room);
+                    state
+                        .service_queues
+                        .with_queue(&call.service, AdmissionQueue::record_no_capacity);
                     if !is_reported {
                         state.work_changed.notify(1);
                         is_reported = true;
@@ -190,12 +192,12 @@
 /// Returns the `Retry-After` after which the queues of all gateways should have drained.
 pub(super) fn capacity_retry_after(state: &GatewayState, call: &Call) -> Duration {
     let peers = state.other_lines(&call.service);
-    state.service_queues.with_line(&call.service, |queue| queue.retry_after(peers, Instant::now()))
+    state.service_queues.with_queue(&call.service, |queue| queue.retry_after(peers, Instant::now()))
 }
 
 /// Logs why a request finds no capacity.
 fn log_no_capacity(state: &GatewayState, call: &Call, peers: PeerQueues, predicted: Duration) {
-    let waiting = state.service_queues.with_line(&call.service, |queue| queue.len());
+    let waiting = state.service_queues.with_queue(&call.service, |queue| queue.len());
     let now = Instant::now();
     let fleet = state.fleet();
     let (mut servers, mut running) = (0, 0);
@@ -212,7 +214,7 @@
         running,
         waiting,
         waiting_elsewhere = peers.waiting,
-        pace_elsewhere = peers.pace,
+        pace_elsewhere = peers.placement_rate,
         gateways_heard = fleet.peers.fresh_count(now),
         predicted_ms = predicted.as_millis() as u64,
         waited_ms = call.age_ms(),
@@ -235,7 +237,7 @@
 /// still meet theirs.
 fn latest_on_time_start(call: &Call, opening: &FirstEventTime) -> Instant {
     let target = call.route.target_latency.unwrap_or(MIN_CALLER_TIMEOUT);
-    call.arrived + opening.latest_start(target).saturating_sub(call.tried_for)
+    call.arrived + opening.max_placement_delay(target).saturating_sub(call.tried_for)
 }
 
 /// Returns when waiting in the queue ends, so that the first event arrives before the caller
@@ -259,7 +261,8 @@
 ) -> Result<PlacedStream, PlacementError> {
     let EnginePlacement { decode, prefill, cost } = {
         let now = Instant::now();
-        let update = state.service_queues.with_line(&call.service, |queue| queue.news(now));
+        let update =
+            state.service_queues.with_queue(&call.service, |queue| queue.queue_update(now));
         let fleet = state.fleet();
         let service = server_digest(&call.service);
         let ahead = update.map_or(0, |update| fleet.peers.queued_ahead(service, &update, now));
--- a/crates/gateway/src/forward/exchange.rs
+++ b/crates/gateway/src/forward/exchange.rs
@@ -16,9 +16,9 @@
 use crate::cluster::ServerOutcome;
 use crate::codec::PlatformCodec;
 use crate::events;
-use crate::model::OnwardOrder;
-use crate::model::ReplyHead;
-use crate::model::SendPurpose;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
+use crate::model::ResponseHead;
 use crate::quarantine::fingerprint_key;
 use crate::state::GatewayState;
 use crate::upstream;
@@ -66,7 +66,7 @@
 #[derive(Debug)]
 pub struct OpenReply {
     pub response: Response<Incoming>,
-    pub head: ReplyHead,
+    pub head: ResponseHead,
     pub connection: PooledConnection,
     pub permit: SendPermit,
 }
@@ -97,13 +97,13 @@
     state: &Arc<GatewayState>,
     call: &Call,
     target: &SendTarget,
-    order: &OnwardOrder,
+    order: &AttemptSpec,
     permit: SendPermit,
     timeout: Duration,
 ) -> Result<OpenReply, SendFailure> {
     let request = call.onward::<C>(order);
     let sent_at = Instant::now();
-    if order.purpose != SendPurpose::Prefill
+    if order.purpose != AttemptPurpose::Prefill
         && let Some(charge) = &call.charge
     {
         charge.commit();
@@ -127,7 +127,7 @@
             return Err(record_failure(state, call, target, failure, &problem));
         }
     };
-    let head = C::reply_head(response.headers());
+    let head = C::response_head(response.headers());
     let status = response.status();
     if head.request_id != call.head.request_id || head.is_encoded {
         state.fleet().record_malformed(&target.server, Instant::now());
@@ -146,7 +146,7 @@
         return Err(record_failure(state, call, target, failure, &format!("status {status}")));
     }
     // Servers sign only responses for callers; a prefill server's is for the gateway.
-    let needs_signature = order.purpose != SendPurpose::Prefill;
+    let needs_signature = order.purpose != AttemptPurpose::Prefill;
     if status.is_success() && needs_signature && !head.is_signed {
         return Err(record_failure(state, call, target, SendFailure::Garbled, "not signed"));
     }
--- a/crates/gateway/src/forward/prefill_step.rs
+++ b/crates/gateway/src/forward/prefill_step.rs
@@ -16,9 +16,9 @@
 use crate::codec::PlatformCodec;
 use crate::events;
 use crate::load_guard::LoadGuard;
+use crate::model::AttemptPurpose;
+use crate::model::AttemptSpec;
 use crate::model::CacheSource;
-use crate::model::OnwardOrder;
-use crate::model::SendPurpose;
 use crate::state::GatewayState;
 use crate::upstream::SendTarget;
 
@@ -67,10 +67,10 @@
     let time_left = call.time_left(started_at);
     let tokens_ahead = queued_prompt_tokens(state, &target).max(call.prompt_shape().prompt_tokens);
     let timeout = prefill_timeout(state, call, tokens_ahead).min(time_left);
-    let order = OnwardOrder {
+    let order = AttemptSpec {
         server: target.server.clone(),
         time_left,
-        purpose: SendPurpose::Prefill,
+        purpose: AttemptPurpose::Prefill,
         resume_after,
     };
     let reply = exchange::exchange::<C>(state, call, &target, &order, permit, timeout).await?;
@@ -99,7 +99,7 @@
     let took = started_at.elapsed();
     state
         .service_queues
-        .with_balance(&call.service, |balance| balance.reading.note(tokens_ahead, took));
+        .with_stage_balance(&call.service, |balance| balance.reading.record(tokens_ahead, took));
     state.note_outcome(&target, ServerOutcome::Fine);
     tracing::info!(
         event = events::PREFILL_DONE,
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request whole and finds its route.
+//! Reads a caller's request completely and finds its route.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 use hyper::body::Incoming;
 use snafu::Snafu;
 
+use super::find_route::CONFIG_UNSETTLED_RETRY_AFTER;
 use super::find_route::FoundRoute;
-use super::find_route::NEWER_RETRY;
 use super::find_route::find_route;
 use crate::cluster::organisation_digest;
 use crate::codec::PlatformCodec;
@@ -28,66 +28,65 @@
 use crate::forward::QuotaCharge;
 use crate::forward::Rejection;
 use crate::forward::reject;
-use crate::model::CallHead;
 use crate::model::CallerKey;
-use crate::model::ContentParts;
+use crate::model::FingerprintParts;
 use crate::model::Organisation;
+use crate::model::RequestHead;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
 use crate::timing::by_deadline;
 
-/// How long a request waits for the first configuration and servers: reading
-/// both takes some 20 ms after a start, and callers whose connections broke
-/// with the process before come back at once.
-const START_WAIT: Duration = Duration::from_millis(400);
-/// How soon to come back when no configuration is known yet: reading it
-/// takes a few calls of the store.
-const NO_CONFIGURATION_RETRY: Duration = Duration::from_millis(300);
-/// How long a caller may wait when neither it nor the route says.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
-/// How long a body may take to arrive: guards against a connection that
-/// went silent behind its head.
+/// How long a request waits for the first configuration and servers: reading both takes about 20 ms
+/// after a start, and callers whose connections broke when the previous process stopped reconnect
+/// at once.
+const STARTUP_TIMEOUT: Duration = Duration::from_millis(400);
+/// `Retry-After` while no configuration is known yet: reading it takes a few calls of the store.
+const NO_CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(300);
+/// Timeout of a request when neither the caller nor the route states one.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// How long a body may take to arrive: prevents a connection that stalls after its header from
+/// being held open.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The caller's connection broke, or its body never came: no answer can
-/// reach it, and the connection is closed.
+/// The caller's connection broke or its body did not arrive: no response can reach it, and the
+/// connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
-#[snafu(display("the request did not arrive whole"))]
+#[snafu(display("request was not received completely"))]
 pub struct CallAborted;
 
-/// What reading a request ended with.
-pub enum ReadEnd {
+/// Outcome of reading a request.
+pub enum ReadOutcome {
     Call(Arc<Call>),
-    Refused(Response<GatewayBody>),
+    Rejected(Response<GatewayBody>),
 }
 
-/// Reads `request` whole; refuses it where no route or limit allows it.
+/// Reads `request` completely; rejects it where no route or limit allows it.
 pub async fn read_call<C: PlatformCodec>(
     state: &Arc<GatewayState>,
     request: Request<Incoming>,
-) -> Result<ReadEnd, CallAborted> {
+) -> Result<ReadOutcome, CallAborted> {
     let arrived = Instant::now();
-    let mut head = C::call_head(request.headers());
+    let mut head = C::request_head(request.headers());
     let request_id = head.request_id.clone();
     let request_id = request_id.as_deref().unwrap_or("-");
-    by_deadline(arrived + START_WAIT, state.known()).await;
+    by_deadline(arrived + STARTUP_TIMEOUT, state.known()).await;
     let host = stated_host(request.headers(), request.uri()).unwrap_or_default();
     let found = match find_route(state, host, request.uri().path(), &head.key).await {
         Ok(found) => found,
-        Err(refusal) => return Ok(refuse_unrouted(state, request_id, &head.key, refusal)),
+        Err(rejection) => return Ok(reject_unrouted(state, request_id, &head.key, rejection)),
     };
-    let mark = found.mark();
+    let caller_mark = found.caller_mark();
     let FoundRoute { table, route, organisation } = found;
     if request.body().size_hint().lower() > table.limits.max_body_bytes as u64 {
-        return Ok(refused(request_id, Rejection::TooLarge, None, table.version));
+        return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::mark_caller(&mut parts.headers, &mark);
+    C::mark_caller(&mut parts.headers, &caller_mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
-        None => return Ok(refused(request_id, Rejection::TooLarge, None, table.version)),
+        None => return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version)),
     };
-    let fingerprint = ContentParts {
+    let fingerprint = FingerprintParts {
         method: parts.method.as_str(),
         host: stated_host(&parts.headers, &parts.uri).unwrap_or_default(),
         target: parts.uri.path_and_query().map_or("/", |target| target.as_str()),
@@ -97,20 +96,27 @@
     .digest();
     let draw = umberglade_wire::digest(request_id.as_bytes());
     let service = route.service(draw).clone();
-    let spec = spec_of(&table, &service);
+    let spec = service_spec(&table, &service);
     if let Some(prompt) = &mut head.prompt {
-        prompt.output_estimate = state.learned(&service).outputs.expect(prompt.output_estimate);
+        prompt.output_estimate =
+            state.learned(&service).outputs.expected_tokens(prompt.output_estimate);
     }
     let charge = match charge(state, organisation.as_deref(), &head) {
         Ok(charge) => charge,
         Err(after) => {
-            return Ok(refused(request_id, Rejection::QuotaSpent, Some(after), table.version));
+            return Ok(reject_request(
+                request_id,
+                Rejection::QuotaSpent,
+                Some(after),
+                table.version,
+            ));
         }
     };
-    let head_patience = head.patience;
-    let patience = head_patience.unwrap_or(DEFAULT_PATIENCE);
-    let allowed = route.timeout.map_or(patience, |timeout| timeout.min(patience));
-    Ok(ReadEnd::Call(Arc::new(Call {
+    let stated_timeout = head.timeout;
+    let requested_timeout = stated_timeout.unwrap_or(DEFAULT_TIMEOUT);
+    let time_limit =
+        route.timeout.map_or(requested_timeout, |timeout| timeout.min(requested_timeout));
+    Ok(ReadOutcome::Call(Arc::new(Call {
         method: parts.method,
         uri: parts.uri,
         headers: parts.headers,
@@ -123,12 +129,12 @@
         spec,
         config: table.version,
         arrived,
-        tried_for: state.service_queues.tried_for(&route.name, head_patience),
-        deadline: arrived + allowed,
+        tried_for: state.service_queues.retrying_for(&route.name, stated_timeout),
+        deadline: arrived + time_limit,
     })))
 }
 
-fn spec_of(table: &RouteTable, service: &str) -> crate::model::ServiceSpec {
+fn service_spec(table: &RouteTable, service: &str) -> crate::model::ServiceSpec {
     table
         .services
         .get(service)
@@ -136,12 +142,12 @@
         .unwrap_or(crate::model::ServiceSpec { max_connections: u32::MAX, engine: None })
 }
 
-/// The host a request names: in its target or its `Host` header.
+/// Returns the host that a request names in its target or its `Host` header.
 fn stated_host<'a>(headers: &'a HeaderMap, uri: &'a Uri) -> Option<&'a str> {
     uri.host().or_else(|| headers.get(header::HOST).and_then(|value| value.to_str().ok()))
 }
 
-/// Who calls, as far as the request itself says.
+/// Returns the credentials that the request itself states.
 fn credentials(key: &CallerKey) -> &[u8] {
     match key {
         CallerKey::Sent(digest) => digest.as_bytes(),
@@ -149,11 +155,12 @@
     }
 }
 
-/// Charges a request to its organisation's quota; the refusal where that is spent.
+/// Charges a request to its organisation's quota; returns the time to retry after where the quota
+/// is used up.
 fn charge(
     state: &Arc<GatewayState>,
     organisation: Option<&Organisation>,
-    head: &CallHead,
+    head: &RequestHead,
 ) -> Result<Option<QuotaCharge>, Duration> {
     let Some((organisation, quota)) =
         organisation.and_then(|organisation| Some((organisation, organisation.quota?)))
@@ -166,15 +173,15 @@
     Ok(Some(QuotaCharge::new(state, organisation_digest(&organisation.name), cost)))
 }
 
-/// Refuses a request that the configuration in force does not allow.
-fn refuse_unrouted(
+/// Rejects a request that the configuration in force does not allow.
+fn reject_unrouted(
     state: &GatewayState,
     request_id: &str,
     key: &CallerKey,
-    refusal: Rejection,
-) -> ReadEnd {
+    rejection: Rejection,
+) -> ReadOutcome {
     let version = state.config_version();
-    if refusal == Rejection::UnknownKey {
+    if rejection == Rejection::UnknownKey {
         let key = match key {
             CallerKey::Sent(digest) => digest.to_string(),
             CallerKey::None => "none".to_owned(),
@@ -188,15 +195,15 @@
             "unknown key"
         );
     }
-    let retry_after = match refusal {
-        Rejection::NoConfiguration => Some(NO_CONFIGURATION_RETRY),
-        Rejection::ConfigUnsettled => Some(NEWER_RETRY),
+    let retry_after = match rejection {
+        Rejection::NoConfiguration => Some(NO_CONFIGURATION_RETRY_AFTER),
+        Rejection::ConfigUnsettled => Some(CONFIG_UNSETTLED_RETRY_AFTER),
         _ => None,
     };
-    refused(request_id, refusal, retry_after, version)
+    reject_request(request_id, rejection, retry_after, version)
 }
 
-/// The whole body; `None` when it is longer than `limit`.
+/// Returns the complete body; `None` when it is longer than `limit`.
 async fn read_body(body: Incoming, limit: usize) -> Result<Option<bytes::Bytes>, CallAborted> {
     let read = async {
         match Limited::new(body, limit).collect().await {
@@ -205,26 +212,26 @@
             Err(_) => Err(CallAborted),
         }
     };
-    let late = async {
+    let timeout = async {
         smol::Timer::after(BODY_TIMEOUT).await;
         Err(CallAborted)
     };
-    read.or(late).await
+    read.or(timeout).await
 }
 
-fn refused(
+fn reject_request(
     request_id: &str,
-    refusal: Rejection,
+    rejection: Rejection,
     retry_after: Option<Duration>,
     config: u64,
-) -> ReadEnd {
+) -> ReadOutcome {
     tracing::info!(
         event = events::CALL_REFUSED,
         request_id,
-        reason = %refusal,
-        status = refusal.status().as_u16(),
+        reason = %rejection,
+        status = rejection.status().as_u16(),
         config,
         "refused"
     );
-    ReadEnd::Refused(reject(refusal, retry_after))
+    ReadOutcome::Rejected(reject(rejection, retry_after))
 }
--- a/crates/gateway/src/ingress/ready_server.rs
+++ b/crates/gateway/src/ingress/ready_server.rs
@@ -1,5 +1,4 @@
-//! Tells the balancer whether this instance takes callers, and operators
-//! its metrics.
+//! Serves readiness checks of the load balancer and metrics for operators.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,7 +18,7 @@
 use crate::codec::PlatformCodec;
 use crate::state::GatewayState;
 
-/// Where metrics are read, as text.
+/// Path of the metrics, in text format.
 const METRICS_PATH: &str = "/metrics";
 
 struct ReadyHandler<C> {
@@ -36,19 +35,19 @@
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
             };
-            return reply::whole(status, "text/plain", Bytes::new());
+            return reply::full(status, "text/plain", Bytes::new());
         }
         match &self.state.metrics {
             Some(metrics) if path == METRICS_PATH => {
                 let text = metrics.render();
-                reply::whole(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
+                reply::full(StatusCode::OK, "text/plain; version=0.0.4", Bytes::from(text))
             }
-            _ => reply::whole(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
+            _ => reply::full(StatusCode::NOT_FOUND, "text/plain", Bytes::new()),
         }
     }
 }
 
-/// Answers until the process ends.
+/// Serves requests until the process stops.
 pub async fn serve_ready<C: PlatformCodec>(
     listener: TcpListener,
     state: Arc<GatewayState>,
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -1,50 +1,49 @@
-//! What the gateway knows of routes, servers, callers and answers, in the
-//! project's own terms. An adapter fills these types; nothing here depends
-//! on how a platform spells them.
+//! The gateway's model of routes, servers, callers and responses. An adapter fills these types;
+//! nothing here depends on the formats of a platform.
 
-mod call_head;
+mod attempt_spec;
+mod caller_identity;
 mod caller_key;
-mod caller_mark;
-mod config_copy;
+mod config_snapshot;
 mod engine_spec;
 mod flow_control;
 mod gateway_settings;
 mod key_digest;
-mod onward_order;
 mod organisation;
 mod organisation_registry;
 mod quota_limit;
-mod reply_head;
 mod request_fingerprint;
+mod request_head;
 mod request_rate;
+mod response_head;
 mod route_table;
 mod server_entry;
 mod stage_order;
 mod store_row;
 
-pub use self::call_head::CallHead;
-pub use self::call_head::PromptShape;
+pub use self::attempt_spec::AttemptPurpose;
+pub use self::attempt_spec::AttemptSpec;
+pub use self::attempt_spec::CacheSource;
+pub use self::caller_identity::CallerIdentity;
 pub use self::caller_key::CallerKey;
-pub use self::caller_mark::CallerMark;
-pub use self::config_copy::ConfigCopy;
+pub use self::config_snapshot::ConfigSnapshot;
 pub use self::engine_spec::EngineSpec;
 pub use self::flow_control::FlowControl;
 pub use self::flow_control::StatedLimit;
 pub use self::gateway_settings::GatewaySettings;
 pub use self::key_digest::KeyDigest;
-pub use self::onward_order::CacheSource;
-pub use self::onward_order::OnwardOrder;
-pub use self::onward_order::SendPurpose;
 pub use self::organisation::Organisation;
-pub use self::organisation_registry::CallerVerdict;
+pub use self::organisation_registry::CallerLookup;
 pub use self::organisation_registry::OrganisationRegistry;
 pub use self::quota_limit::QuotaLimit;
 pub use self::quota_limit::QuotaUnit;
-pub use self::reply_head::PrefillResult;
-pub use self::reply_head::ReplyHead;
-pub use self::reply_head::ReportedLoad;
-pub use self::request_fingerprint::ContentParts;
+pub use self::request_fingerprint::FingerprintParts;
+pub use self::request_head::PromptShape;
+pub use self::request_head::RequestHead;
 pub use self::request_rate::RequestRate;
+pub use self::response_head::PrefillResult;
+pub use self::response_head::ReportedLoad;
+pub use self::response_head::ResponseHead;
 pub use self::route_table::CallKind;
 pub use self::route_table::CallerLimits;
 pub use self::route_table::Route;
@@ -63,13 +62,13 @@
 
 use std::sync::Arc;
 
-/// A backend server's id. Shared, since every request and log line names one.
+/// A backend server's id. Reference-counted, since every request and log line names one.
 pub type ServerKey = Arc<str>;
-/// A digest of a server's id and of when it started: what is known of one
-/// start of a server says nothing of the next.
+/// A digest of a server's id and start time. State known about one incarnation of a server does not
+/// apply to the next.
 pub type ServerIncarnation = u64;
-/// A digest of what a request asks and of who asks it: the same when the request
-/// comes again under another id.
+/// A digest of a request's content and its caller. It is the same when the request is sent again
+/// under another id.
 pub type RequestFingerprint = u64;
 /// A service's name, as in the configuration.
 pub type ServiceName = Arc<str>;
@@ -79,5 +78,5 @@
 pub type DomainKey = Arc<str>;
 /// The version of the configuration in force.
 pub type ConfigVersion = u64;
-/// A row's version in the store's table service: only grows.
+/// A row's version in the store's table service. Versions only increase.
 pub type StoreVersion = u64;
--- a/crates/router/tests/duty_lease.rs
+++ b/crates/router/tests/leader_lease.rs
@@ -1,10 +1,10 @@
-//! The duty's lease, against a platform stand-in.
+//! Tests of the leader lease against a platform stand-in.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use umberglade_router::duty::DutyLease;
+use umberglade_router::leader::LeaderLease;
 use umberglade_router::platform::PlatformClient;
 use umberglade_standin::platform::PlatformConfig;
 use umberglade_standin::platform::PlatformStandin;
@@ -21,48 +21,47 @@
     local.to_string()
 }
 
-fn lease(platform: &str, daemon: &str) -> DutyLease {
+fn lease(platform: &str, daemon: &str) -> LeaderLease {
     let client = PlatformClient::new(platform, Duration::from_secs(1));
-    DutyLease::new(client, daemon.into(), 1, LEASE)
+    LeaderLease::new(client, daemon.into(), 1, LEASE)
 }
 
-/// The holder is paused between its renewal and the order it was about to
-/// send. On waking it asks for the fencing number: it must get none, well
-/// before another daemon can have taken the duty.
+/// The leader is paused between renewing its lease and sending an order. When it resumes, it must
+/// get no fencing token, well before another daemon can take over.
 #[test]
-fn a_holder_that_slept_gets_no_fence() {
+fn paused_leader_gets_no_fence() {
     pool::block_on(async {
         let platform = platform().await;
         let mut held = lease(&platform, "entry-1");
-        held.contend().await.unwrap();
+        held.acquire_or_renew().await.unwrap();
         assert!(held.fence().is_some());
         smol::Timer::after(LEASE * 2 / 3).await;
-        assert_eq!(held.fence(), None, "orders on a lease that may lapse");
-        assert!(held.is_held(), "it still believes it holds the duty");
+        assert_eq!(held.fence(), None, "a lease that may expire still gives a fencing token");
+        assert!(held.is_held(), "the paused leader has not noticed yet that its lease is old");
     });
 }
 
-/// Two daemons want the duty. The second must not take it while the first
-/// renews, must take it once the first is silent past the lease, and then
-/// has the higher fence; the first, back, must see that it lost.
+/// Two daemons compete for the leadership. The second must not acquire it while the first renews,
+/// must acquire it once the first has not renewed for longer than the lease, and then has the
+/// higher fencing token. When the first returns, it must notice that it lost the leadership.
 #[test]
-fn the_duty_passes_on_only_after_the_lease() {
+fn leadership_changes_only_after_the_lease_expires() {
     pool::block_on(async {
         let platform = platform().await;
         let mut first = lease(&platform, "entry-1");
         let mut second = lease(&platform, "entry-2");
-        first.contend().await.unwrap();
+        first.acquire_or_renew().await.unwrap();
         let first_fence = first.fence().unwrap();
         for _ in 0..4 {
             smol::Timer::after(LEASE / 3).await;
-            first.contend().await.unwrap();
-            second.contend().await.unwrap();
+            first.acquire_or_renew().await.unwrap();
+            second.acquire_or_renew().await.unwrap();
             assert!(first.is_held() && !second.is_held());
         }
         smol::Timer::after(LEASE + Duration::from_millis(50)).await;
-        second.contend().await.unwrap();
+        second.acquire_or_renew().await.unwrap();
         assert!(second.fence().unwrap() > first_fence);
-        first.contend().await.unwrap();
+        first.acquire_or_renew().await.unwrap();
         assert!(!first.is_held());
         assert_eq!(first.fence(), None);
     });
--- a/crates/standin/src/engine/decode.rs
+++ b/crates/standin/src/engine/decode.rs
@@ -1,5 +1,5 @@
-//! Decode on an engine stand-in: fetches the KV cache, then streams tokens
-//! at the pace of its batch.
+//! Decode on an engine stand-in: fetches the KV cache, then streams tokens at a rate that depends
+//! on the size of the batch.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -23,14 +23,14 @@
 use umberglade_wire::reply::ReplyBody;
 
 use super::EngineStandin;
-use super::HeldGuard;
-use super::SILENCE;
+use super::STALL_DURATION;
+use super::SlotGuard;
 
-/// Timeout for fetching a KV cache from a prefill server.
+/// The timeout for fetching a KV cache from a prefill server.
 const KV_FETCH_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The text of token `index` of the answer for `seed`: what a test
-/// expects a caller to receive.
+/// Returns the text of token `index` of the response for `seed`, as tests expect callers to receive
+/// it.
 pub fn answer_token(seed: u64, index: u32) -> String {
     let word =
         umberglade_wire::digest(&[seed.to_le_bytes(), u64::from(index).to_le_bytes()].concat());
@@ -42,16 +42,16 @@
         let admitted = self.admit(&order.request_id, order.fence, EngineRole::Decode);
         let (guard, cancelled) = match admitted {
             Ok(admitted) => admitted,
-            Err(refusal) => return refusal,
+            Err(rejection) => return rejection,
         };
         let source = HttpClient::new(order.kv_source.clone(), KV_FETCH_TIMEOUT);
         let path = format!("/v1/kv/{}", order.kv_handle);
         let fetched = match source.send("fetch kv cache", Method::GET, &path, None).await {
-            Ok(response) => source.read_whole("fetch kv cache", response).await,
+            Ok(response) => source.read_full_body("fetch kv cache", response).await,
             Err(error) => Err(error),
         };
         if let Err(error) = fetched {
-            return reply::refusal(StatusCode::BAD_GATEWAY, "kv_fetch", &error.to_string(), None);
+            return reply::rejection(StatusCode::BAD_GATEWAY, "kv_fetch", &error.to_string(), None);
         }
         let (sender, response) = reply::stream(StatusCode::OK, "application/x-ndjson");
         let engine = self.clone();
@@ -59,16 +59,16 @@
         response
     }
 
-    /// Generates until the answer is whole, the request is cancelled, its
-    /// reader is gone or its deadline has passed. The deadline bounds what
-    /// a daemon that froze or was cut off can hold: its socket stays open
-    /// and takes no more lines, so nothing else would end the stream.
+    /// Generates tokens until the response is complete, the request is cancelled, the connection is
+    /// closed or the deadline has passed. The deadline frees requests of a daemon that hangs or is
+    /// disconnected: its socket stays open and accepts no more data, so nothing else would end the
+    /// stream.
     async fn generate(
         &self,
         order: DecodeOrder,
         sender: ChunkSender,
         cancelled: Arc<AtomicBool>,
-        _guard: HeldGuard,
+        _guard: SlotGuard,
     ) {
         let deadline = Instant::now() + Duration::from_millis(order.deadline_ms);
         self.stream_tokens(order, sender, cancelled)
@@ -90,12 +90,12 @@
                 return;
             }
             let faults = self.faults();
-            let made = index - order.resume_from;
-            if faults.down || is_reached(faults.cut_after_tokens, made) {
+            let generated = index - order.resume_from;
+            if faults.down || is_reached(faults.cut_after_tokens, generated) {
                 return;
             }
-            if is_reached(faults.silent_after_tokens, made) {
-                smol::Timer::after(SILENCE).await;
+            if is_reached(faults.silent_after_tokens, generated) {
+                smol::Timer::after(STALL_DURATION).await;
             }
             if !send_token(&sender, &order, index, &faults).await && !faults.ignores_hangup {
                 return;
@@ -111,19 +111,21 @@
         }
     }
 
-    /// The time of one decode step in the batch as it is now.
+    /// Returns the time of one decode step at the current batch size.
     fn step_time(&self) -> Duration {
-        let running = self.shared.state.lock().expect("engine state lock").held.len() as u32;
+        let running =
+            self.shared.state.lock().expect("engine state lock").active_requests.len() as u32;
         let config = &self.shared.config;
-        config.decode_per_token + config.decode_per_neighbour * running.saturating_sub(1)
+        config.decode_per_token + config.decode_per_batched_request * running.saturating_sub(1)
     }
 }
 
-fn is_reached(limit: u32, made: u32) -> bool {
-    limit > 0 && made >= limit
+fn is_reached(limit: u32, generated: u32) -> bool {
+    limit > 0 && generated >= limit
 }
 
-/// Sends token `index`, with the line faults asked for.
+/// Sends token `index`, with the crossed or duplicate lines that `faults` injects. Returns false
+/// when the connection is closed.
 async fn send_token(
     sender: &ChunkSender,
     order: &DecodeOrder,
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders that change what an engine stand-in is: weights, adapters, role.
+//! Orders that change the weights, the adapters or the role of an engine stand-in.
 
 use std::time::Duration;
 use std::time::Instant;
@@ -15,34 +15,34 @@
 use umberglade_wire::reply::ReplyBody;
 
 use super::EngineStandin;
-use super::SILENCE;
+use super::STALL_DURATION;
 
-/// Longest a change of role waits for work in hand.
-const FINISH_LIMIT: Duration = Duration::from_secs(30);
-/// How often it looks whether that work is done.
-const FINISH_POLL: Duration = Duration::from_millis(10);
+/// The longest time that a change of role waits for requests in flight.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
+/// How often a change of role checks whether those requests are done.
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 impl EngineStandin {
-    /// Takes `order`, or leaves it unanswered and carries it out late.
+    /// Accepts or rejects `order`. With the fault `late_order_ms` the order gets no response and is
+    /// accepted after that delay.
     pub(super) async fn order(&self, order: EngineOrder) -> Response<ReplyBody> {
-        let late = Duration::from_millis(self.faults().late_order_ms);
-        if !late.is_zero() {
+        let delay = Duration::from_millis(self.faults().late_order_ms);
+        if !delay.is_zero() {
             let engine = self.clone();
             pool::spawn(async move {
-                smol::Timer::after(late).await;
+                smol::Timer::after(delay).await;
                 let _ = engine.accept(order);
             });
-            smol::Timer::after(SILENCE).await;
+            smol::Timer::after(STALL_DURATION).await;
             return conflict("late", "the order was left unanswered");
         }
         match self.accept(order) {
             Ok(reply) => reply::json(StatusCode::ACCEPTED, &reply),
-            Err(refusal) => refusal,
+            Err(rejection) => rejection,
         }
     }
 
-    /// Checks `order` against fence and sequence as they are now, and
-    /// begins to carry it out.
+    /// Checks `order` against the current fencing token and sequence, and starts to execute it.
     fn accept(&self, order: EngineOrder) -> Result<OrderReply, Response<ReplyBody>> {
         let mut state = self.shared.state.lock().expect("engine state lock");
         if self.shared.config.checks_fence && order.fence < state.highest_order_fence {
@@ -61,11 +61,11 @@
         let sequence = state.order_sequence;
         drop(state);
         let engine = self.clone();
-        pool::spawn(async move { engine.carry_out(order.operation).await });
+        pool::spawn(async move { engine.execute(order.operation).await });
         Ok(OrderReply { sequence })
     }
 
-    async fn carry_out(&self, operation: OrderOperation) {
+    async fn execute(&self, operation: OrderOperation) {
         let config = &self.shared.config;
         match operation {
             OrderOperation::LoadModel { model, version } => {
@@ -80,7 +80,7 @@
                 state.adapters.push(adapter);
             }
             OrderOperation::SetRole { role } => {
-                self.finish_work().await;
+                self.wait_until_idle().await;
                 smol::Timer::after(config.role_switch).await;
                 self.shared.state.lock().expect("engine state lock").role = role;
             }
@@ -89,14 +89,15 @@
         self.register(InstanceState::Live).await;
     }
 
-    /// Waits until no request is held: a change of role cuts nothing.
-    async fn finish_work(&self) {
-        let limit = Instant::now() + FINISH_LIMIT;
-        while Instant::now() < limit {
-            if self.shared.state.lock().expect("engine state lock").held.is_empty() {
+    /// Waits until no request is in flight, at most [`DRAIN_TIMEOUT`], so that a change of role
+    /// does not interrupt requests.
+    async fn wait_until_idle(&self) {
+        let deadline = Instant::now() + DRAIN_TIMEOUT;
+        while Instant::now() < deadline {
+            if self.shared.state.lock().expect("engine state lock").active_requests.is_empty() {
                 return;
             }
-            smol::Timer::after(FINISH_POLL).await;
+            smol::Timer::after(DRAIN_POLL_INTERVAL).await;
         }
     }
 
@@ -115,5 +116,5 @@
 }
 
 fn conflict(kind: &str, message: &str) -> Response<ReplyBody> {
-    reply::refusal(StatusCode::CONFLICT, kind, message, None)
+    reply::rejection(StatusCode::CONFLICT, kind, message, None)
 }
