--- a/crates/gateway/benches/decision.rs
+++ b/crates/gateway/benches/decision.rs
@@ -1,5 +1,5 @@
-//! What one decision of a gateway costs, by the size of a site: choosing
-//! engines, choosing a plain server, and taking in another gateway's report.
+//! Cost of a gateway's decisions by the size of a site: placing a stream on engines, placing a
+//! plain call, and applying another gateway's report.
 
 use std::hint::black_box;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 use umberglade_gateway::cluster::LoadShare;
 use umberglade_gateway::cluster::PeerUpdate;
 use umberglade_gateway::cluster::PlacementRequest;
+use umberglade_gateway::cluster::name_digest;
 use umberglade_gateway::cluster::place_engine;
 use umberglade_gateway::cluster::place_plain;
-use umberglade_gateway::cluster::server_digest;
 use umberglade_gateway::model::DomainKey;
 use umberglade_gateway::model::EngineSpec;
 use umberglade_gateway::model::PromptShape;
 use umberglade_gateway::model::ServerEntry;
 use umberglade_gateway::model::ServerStage;
 
-/// A small site, a large one, and the target size; the last as if all
-/// servers were of one model, which bounds a decision from above.
+/// Gateways and servers of a small site, a large one, and the target size. All servers have the
+/// same model, which is an upper bound for the cost of a decision at the target size.
 const SIZES: [(usize, usize); 3] = [(6, 18), (79, 140), (340, 890)];
-/// Failure domains of each size.
+/// Failure domains of each site.
 const DOMAINS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// One engine in this many reads prompts.
-const READER_EVERY: usize = 3;
-/// Servers at which one gateway has work.
+/// One engine in this many is a prefill server.
+const ENGINES_PER_PREFILL_SERVER: usize = 3;
+/// Number of servers at which a gateway has work.
 const BUSY_SERVERS: usize = 4;
 
 const SHAPE: PromptShape =
@@ -56,25 +56,25 @@
     }
 }
 
-fn news(servers: usize, peer: usize, round: usize) -> PeerUpdate {
+fn peer_update(servers: usize, peer: usize, round: usize) -> PeerUpdate {
     let load = LoadShare::of_stream(&SHAPE);
     let at = |index: usize| (peer * 7 + index * 31 + round) % servers;
     let loads =
-        (0..BUSY_SERVERS).map(|index| (server_digest(&format!("engine-{}", at(index))), load));
+        (0..BUSY_SERVERS).map(|index| (name_digest(&format!("engine-{}", at(index))), load));
     PeerUpdate { loads: loads.collect(), ..PeerUpdate::default() }
 }
 
-/// A site of which every gateway has been heard.
+/// Returns a site in which every gateway has reported.
 fn site(gateways: usize, servers: usize, now: Instant) -> Fleet {
     let mut fleet = Fleet::default();
     for at in 0..servers {
-        let is_reader = at % READER_EVERY == 0;
-        let stage = if is_reader { ServerStage::Prefill } else { ServerStage::Decode };
+        let is_prefill = at % ENGINES_PER_PREFILL_SERVER == 0;
+        let stage = if is_prefill { ServerStage::Prefill } else { ServerStage::Decode };
         fleet.upsert(entry("engine", at, stage), at as u64 + 1);
         fleet.upsert(entry("plain", at, ServerStage::Plain), (servers + at) as u64 + 1);
     }
     for peer in 1..gateways {
-        fleet.peers.record(&format!("gw-{peer}"), 1, 1, news(servers, peer, 0), now);
+        fleet.peers.record(&format!("gw-{peer}"), 1, 1, peer_update(servers, peer, 0), now);
     }
     fleet
 }
@@ -85,22 +85,23 @@
     for (gateways, servers) in SIZES {
         let mut group = criterion.benchmark_group(format!("{gateways} gateways {servers} servers"));
         let mut fleet = site(gateways, servers, now);
-        let gateway = server_digest("gw-0");
-        let need =
+        let gateway = name_digest("gw-0");
+        let request =
             |service| PlacementRequest { service, gateway, domain: &domain, tried: &[], now };
         group.bench_function("place_engine", |bench| {
-            bench.iter(|| place_engine(black_box(&fleet), &spec(), &SHAPE, 0, &need("engine")));
+            bench.iter(|| place_engine(black_box(&fleet), &spec(), &SHAPE, 0, &request("engine")));
         });
         group.bench_function("place_plain", |bench| {
-            bench.iter(|| place_plain(black_box(&fleet), &need("plain")));
+            bench.iter(|| place_plain(black_box(&fleet), &request("plain")));
         });
-        let reports: Vec<PeerUpdate> = (0..64).map(|round| news(servers, 1, round)).collect();
+        let reports: Vec<PeerUpdate> =
+            (0..64).map(|round| peer_update(servers, 1, round)).collect();
         let mut sequence = 1;
         group.bench_function("take_report", |bench| {
             bench.iter(|| {
                 sequence += 1;
-                let news = reports[sequence as usize % reports.len()].clone();
-                fleet.peers.record("gw-1", 1, sequence, news, now)
+                let peer_update = reports[sequence as usize % reports.len()].clone();
+                fleet.peers.record("gw-1", 1, sequence, peer_update, now)
             });
         });
     }
--- a/crates/gateway/src/cluster/server_backoffs.rs
+++ b/crates/gateway/src/cluster/server_backoffs.rs
@@ -28,7 +28,7 @@
 }
 
 /// The backoffs that server incarnations have requested. Includes those of peers, so that a
-/// restarted gateway can learn its own from them.
+/// restarted gateway can learn its own backoffs from its peers.
 #[derive(Debug, Default)]
 pub struct ServerBackoffs {
     /// Per server, by the digest of the gateway.
@@ -37,7 +37,7 @@
 
 impl ServerBackoffs {
     /// Records that `server` requests a backoff from `gateway` until `until`, unless the known one
-    /// ends no earlier. Returns true when it was recorded.
+    /// ends no earlier. Returns true if it was recorded.
     pub fn record(
         &mut self,
         server: ServerIncarnation,
--- a/crates/gateway/src/cluster/stage_balance.rs
+++ b/crates/gateway/src/cluster/stage_balance.rs
@@ -15,20 +15,20 @@
 /// Weight of one stream in the mean, once there are enough.
 const SAMPLE_WEIGHT: f64 = 0.05;
 /// Target utilisation of prefill servers while decode servers are full. Decode servers prefill the
-/// prompts that prefill servers do not handle in time. Without that, prompts queue for seconds at
-/// 0.8, and 0.5 is the highest value that holds (callers get 0.634 and 0.642 of the value of what
-/// they request). With it, callers get 0.663 at 0.8 and 0.655 at 0.5. Over twenty runs each with
-/// bursts and faults.
+/// prompts that prefill servers do not handle in time. If they did not, prompts would queue for
+/// seconds at 0.8, and 0.5 would be the highest usable value: callers get 0.634 of the value of
+/// what they request at 0.8 and 0.642 at 0.5. As they do, callers get 0.663 at 0.8 and 0.655 at
+/// 0.5. All figures are over twenty runs each with bursts and faults.
 const TARGET_PREFILL_UTILISATION: f64 = 0.8;
 
 /// Engine time that a mean stream takes in each stage.
 ///
 /// Prevents engines from being taken from the stage that is about to become the bottleneck. How
-/// busy prefill servers are says little: they are idle before a burst, and a prompt in the constant
-/// steps of its engine looks like one being prefilled. Judged by that, two of five prefill servers
-/// are ordered to decode at the start of a burst, prompts queue for seconds, and callers get 0.60
-/// of the value of what they request, against 0.69 with one ordered. What a stream takes of either
-/// stage does not depend on how many arrive.
+/// busy prefill servers are says little: they are idle before a burst, and a prompt in those steps
+/// of its engine that take constant time looks like one being prefilled. Judged by that, two of
+/// five prefill servers are ordered to decode at the start of a burst, prompts queue for seconds,
+/// and callers get 0.60 of the value of what they request, against 0.69 with one ordered. What a
+/// stream takes of either stage does not depend on how many arrive.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct StageBalance {
     pub reading: PrefillRate,
@@ -36,7 +36,7 @@
     prompt_tokens: f64,
     /// Mean time that a stream stays at a decode server, in seconds.
     stay_s: f64,
-    /// The same, multiplied by the KV cache tokens that the stream holds.
+    /// Mean of that time multiplied by the KV cache tokens that the stream holds.
     token_s: f64,
     streams: u32,
 }
@@ -81,8 +81,8 @@
         let prefill_s = self.prompt_tokens * self.reading.millis_per_token()? / 1000.0;
         let by_memory = self.token_s / f64::from(spec.kv_tokens.max(1));
         let by_slots = self.stay_s / f64::from(spec.slots.max(1));
-        let reading = prefill_s / TARGET_PREFILL_UTILISATION;
-        let fraction = reading / (reading + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
+        let by_prefill = prefill_s / TARGET_PREFILL_UTILISATION;
+        let fraction = by_prefill / (by_prefill + by_memory.max(by_slots)).max(f64::MIN_POSITIVE);
         Some((fraction * engines as f64).round() as usize)
     }
 }
--- a/crates/gateway/src/forward/reject.rs
+++ b/crates/gateway/src/forward/reject.rs
@@ -166,7 +166,7 @@
         charge.refund();
     }
     tracing::info!(
-        event = events::CALL_REFUSED,
+        event = events::CALL_REJECTED,
         request_id = call.id(),
         content = fingerprint_key(call.fingerprint),
         route = %call.route.name,
--- a/crates/gateway/src/ingress/find_route.rs
+++ b/crates/gateway/src/ingress/find_route.rs
@@ -12,7 +12,7 @@
 use crate::model::Route;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// How long a request with an unknown route or key waits for a newer configuration that may know
 /// it: a read of the store and a margin.
@@ -52,7 +52,7 @@
 ) -> Result<FoundRoute, Rejection> {
     let deadline = Instant::now() + NEWER_CONFIG_TIMEOUT;
     loop {
-        let table = state.table().ok_or(Rejection::NoConfiguration)?;
+        let table = state.route_table().ok_or(Rejection::NoConfiguration)?;
         let rejection = match match_route(table, host, path, key) {
             Ok(found) => return Ok(found),
             Err(rejection) => rejection,
@@ -63,9 +63,13 @@
         if Instant::now() >= deadline {
             return Err(Rejection::ConfigUnsettled);
         }
-        state.ask_for_config();
+        state.request_config_read();
         // A change that arrives in between is seen at the next check.
-        by_deadline(deadline.min(Instant::now() + POLL_INTERVAL), state.room.listen()).await;
+        with_deadline(
+            deadline.min(Instant::now() + POLL_INTERVAL),
+            state.capacity_changed.listen(),
+        )
+        .await;
     }
 }
 
--- a/crates/gateway/src/ingress/read_call.rs
+++ b/crates/gateway/src/ingress/read_call.rs
@@ -34,7 +34,7 @@
 use crate::model::RequestHead;
 use crate::model::RouteTable;
 use crate::state::GatewayState;
-use crate::timing::by_deadline;
+use crate::timing::with_deadline;
 
 /// How long a request waits for the first configuration and servers: reading both takes about 20 ms
 /// after a start, and callers whose connections broke when the previous process stopped reconnect
@@ -69,7 +69,7 @@
     let mut head = C::request_head(request.headers());
     let request_id = head.request_id.clone();
     let request_id = request_id.as_deref().unwrap_or("-");
-    by_deadline(arrived + STARTUP_TIMEOUT, state.known()).await;
+    with_deadline(arrived + STARTUP_TIMEOUT, state.wait_until_initialized()).await;
     let host = stated_host(request.headers(), request.uri()).unwrap_or_default();
     let found = match find_route(state, host, request.uri().path(), &head.key).await {
         Ok(found) => found,
@@ -81,7 +81,7 @@
         return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version));
     }
     let (mut parts, body) = request.into_parts();
-    C::mark_caller(&mut parts.headers, &caller_mark);
+    C::set_caller_headers(&mut parts.headers, &caller_mark);
     let body = match read_body(body, table.limits.max_body_bytes).await? {
         Some(body) => body,
         None => return Ok(reject_request(request_id, Rejection::TooLarge, None, table.version)),
@@ -99,7 +99,7 @@
     let spec = service_spec(&table, &service);
     if let Some(prompt) = &mut head.prompt {
         prompt.output_estimate =
-            state.learned(&service).outputs.expected_tokens(prompt.output_estimate);
+            state.estimates(&service).outputs.expected_tokens(prompt.output_estimate);
     }
     let charge = match charge(state, organisation.as_deref(), &head) {
         Ok(charge) => charge,
@@ -226,7 +226,7 @@
     config: u64,
 ) -> ReadOutcome {
     tracing::info!(
-        event = events::CALL_REFUSED,
+        event = events::CALL_REJECTED,
         request_id,
         reason = %rejection,
         status = rejection.status().as_u16(),
--- a/crates/gateway/src/quota/quota_peers.rs
+++ b/crates/gateway/src/quota/quota_peers.rs
@@ -28,7 +28,7 @@
 impl GatewayState {
     /// Returns how long the process has run.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 
     /// Returns this gateway's view of its peers for granting units of a quota.
@@ -41,7 +41,7 @@
         let report_age = interval + REPORT_DELAY;
         QuotaView {
             live_peers,
-            members: self.members(),
+            gateways: self.members(),
             report_age,
             since_last_report: since_last_report.unwrap_or(Duration::MAX).max(report_age),
             window: self.settings.quota_window,
--- a/crates/gateway/src/quota/quotas.rs
+++ b/crates/gateway/src/quota/quotas.rs
@@ -91,14 +91,14 @@
         };
         metrics::counter!("umberglade_quota_refusals_total", "organisation" => label).increment(1);
         tracing::info!(
-            event = events::QUOTA_SPENT,
+            event = events::QUOTA_EXHAUSTED,
             request_id,
             organisation = %organisation.name,
             cost,
             left,
             part = view.fraction(),
             gateways_heard = view.live_peers,
-            gateways = view.members,
+            gateways = view.gateways,
             unheard_ms = view.since_last_report.as_millis() as u64,
             retry_after_ms = retry_after.as_millis() as u64,
             "request rejected by quota"
--- a/crates/gateway/src/store/config_sink.rs
+++ b/crates/gateway/src/store/config_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in the operator's configuration.
+//! Applies the operator's configuration from the store.
 
 use std::marker::PhantomData;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Puts each newer configuration in force.
+/// Puts each newer configuration in force. Rows that are not understood are logged and ignored.
 #[derive(Debug)]
 pub struct ConfigSink<C> {
     state: Arc<GatewayState>,
@@ -26,12 +26,12 @@
 }
 
 impl<C: PlatformCodec> ConfigSink<C> {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         ConfigSink { state, codec: PhantomData }
     }
 
-    fn take(&self, row: StoreRow) {
+    fn apply_row(&self, row: StoreRow) {
         let value = match &row.value {
             RowValue::Held(value) => value,
             RowValue::Removed => return,
@@ -41,26 +41,26 @@
             }
         };
         match C::route_table(&row.key, value) {
-            Ok(Some(table)) => drop(self.state.put_in_force(row.version, table, "store")),
+            Ok(Some(table)) => drop(self.state.apply_config(row.version, table, "store")),
             Ok(None) => {}
             Err(error) => tracing::error!(
                 event = events::CONFIG_IGNORED,
                 row_version = row.version,
                 %error,
-                "configuration not understood; the one in force stays"
+                "configuration not understood; keeping the one in force"
             ),
         }
     }
 }
 
 impl<C: PlatformCodec> TableSink for ConfigSink<C> {
-    fn listed(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
-        self.changed(rows);
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, _version: StoreVersion) {
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
         for row in rows {
-            self.take(row);
+            self.apply_row(row);
         }
     }
 
@@ -68,11 +68,11 @@
         raw_digest(row)
     }
 
-    fn read(&mut self) {
-        self.state.note_config_fresh(Instant::now());
+    fn record_read(&mut self) {
+        self.state.record_config_fresh(Instant::now());
     }
 
-    fn due(&self) -> Option<EventListener> {
+    fn read_trigger(&self) -> Option<EventListener> {
         Some(self.state.config_due.listen())
     }
 }
--- a/crates/gateway/src/store/quarantine_sink.rs
+++ b/crates/gateway/src/store/quarantine_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in which contents are held back.
+//! Applies the store's table of quarantined request fingerprints.
 
 use std::sync::Arc;
 
@@ -17,31 +17,31 @@
 use crate::quarantine::fingerprint_from_key;
 use crate::state::GatewayState;
 
-/// Keeps what is held back up to date with the store.
+/// Keeps the quarantined fingerprints up to date with the store.
 #[derive(Debug)]
 pub struct QuarantineSink {
     state: Arc<GatewayState>,
 }
 
 impl QuarantineSink {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         QuarantineSink { state }
     }
 
-    /// A row that can't be read holds nothing back, and clears nothing.
-    fn take(&self, row: &StoreRow) {
-        let Some(content) = fingerprint_from_key(&row.key) else {
-            log_unreadable(StoreTable::Quarantines, row, "the key names no content");
+    /// Applies one row. A row that can't be decoded neither starts nor ends a quarantine.
+    fn apply_row(&self, row: &StoreRow) {
+        let Some(fingerprint) = fingerprint_from_key(&row.key) else {
+            log_unreadable(StoreTable::Quarantines, row, "the key is no request fingerprint");
             return;
         };
         match &row.value {
-            RowValue::Removed => self.state.quarantines.apply_missing_row(content, row.version),
+            RowValue::Removed => self.state.quarantines.apply_missing_row(fingerprint, row.version),
             RowValue::Unreadable(problem) => log_unreadable(StoreTable::Quarantines, row, problem),
             RowValue::Held(value) => match postcard::from_bytes::<QuarantineRow>(value) {
-                Ok(held) => {
-                    if self.state.quarantines.apply_row(content, held, row.version) {
-                        self.state.room.notify(usize::MAX);
+                Ok(quarantine_row) => {
+                    if self.state.quarantines.apply_row(fingerprint, quarantine_row, row.version) {
+                        self.state.capacity_changed.notify(usize::MAX);
                     }
                 }
                 Err(error) => log_unreadable(StoreTable::Quarantines, row, &error.to_string()),
@@ -51,30 +51,30 @@
 }
 
 impl TableSink for QuarantineSink {
-    fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
-        let listed: FxHashSet<RequestFingerprint> =
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
+        let listed_fingerprints: FxHashSet<RequestFingerprint> =
             rows.iter().filter_map(|row| fingerprint_from_key(&row.key)).collect();
-        for content in self.state.quarantines.rows() {
-            if !listed.contains(&content) {
-                self.state.quarantines.apply_missing_row(content, version);
+        for fingerprint in self.state.quarantines.rows() {
+            if !listed_fingerprints.contains(&fingerprint) {
+                self.state.quarantines.apply_missing_row(fingerprint, version);
             }
         }
-        self.changed(rows);
+        self.apply_changes(rows);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
-        rows.iter().for_each(|row| self.take(row));
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
+        rows.iter().for_each(|row| self.apply_row(row));
     }
 
-    /// With the version: a row that was removed and written again says the same
-    /// as before, and a probe is claimed by its version.
+    /// Includes the version: a row that was removed and written again may hold the same value as
+    /// before, and a probe is claimed by the row's version.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         let digest = raw_digest(row)?;
         Some(umberglade_wire::digest_seeded(&digest.to_le_bytes(), row.version))
     }
 
-    fn read(&mut self) {
+    fn record_read(&mut self) {
         self.state.quarantines.mark_read();
-        self.state.room.notify(usize::MAX);
+        self.state.capacity_changed.notify(usize::MAX);
     }
 }
--- a/crates/gateway/src/store/server_sink.rs
+++ b/crates/gateway/src/store/server_sink.rs
@@ -1,4 +1,4 @@
-//! Takes in the servers' registrations.
+//! Applies the servers' registrations from the store.
 
 use std::hash::Hash;
 use std::hash::Hasher;
@@ -20,7 +20,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// The digest of every row that holds no registration.
+/// Digest of every row that holds no valid registration.
 const UNREADABLE_DIGEST: RowDigest = 1;
 
 /// Keeps the fleet up to date.
@@ -31,55 +31,55 @@
 }
 
 impl<C: PlatformCodec> ServerSink<C> {
-    /// A sink for `state`.
+    /// Creates a sink that updates `state`.
     pub fn new(state: Arc<GatewayState>) -> Self {
         ServerSink { state, codec: PhantomData }
     }
 
-    fn decode(row: &StoreRow) -> RowNews {
+    fn decode(row: &StoreRow) -> DecodedRow {
         match &row.value {
-            RowValue::Removed => RowNews::Removed,
-            RowValue::Unreadable(problem) => RowNews::Unreadable(problem.clone()),
+            RowValue::Removed => DecodedRow::Removed,
+            RowValue::Unreadable(problem) => DecodedRow::Unreadable(problem.clone()),
             RowValue::Held(value) => match C::server_entry(&row.key, value) {
-                Ok(entry) => RowNews::Entry(entry),
-                Err(error) => RowNews::Unreadable(error.to_string()),
+                Ok(entry) => DecodedRow::Entry(entry),
+                Err(error) => DecodedRow::Unreadable(error.to_string()),
             },
         }
     }
 }
 
-/// What a row of the servers' table tells.
-enum RowNews {
+/// Decoded row of the servers' table.
+enum DecodedRow {
     Entry(ServerEntry),
     Removed,
-    /// Why.
+    /// The reason why the row can't be decoded.
     Unreadable(String),
 }
 
 impl<C: PlatformCodec> TableSink for ServerSink<C> {
-    fn listed(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
+    fn apply_listing(&mut self, rows: Vec<StoreRow>, version: StoreVersion) {
         let mut listing = ServerListing::default();
         for row in &rows {
             match Self::decode(row) {
-                RowNews::Entry(entry) => listing.entries.push((entry, row.version)),
-                RowNews::Unreadable(problem) => {
+                DecodedRow::Entry(entry) => listing.entries.push((entry, row.version)),
+                DecodedRow::Unreadable(problem) => {
                     log_unreadable(StoreTable::Servers, row, &problem);
                     listing.unreadable.push((row.key.as_str().into(), row.version));
                 }
-                RowNews::Removed => {}
+                DecodedRow::Removed => {}
             }
         }
         let changes = self.state.fleet().replace(listing, version, Instant::now());
         self.state.log_changes(&changes, version);
     }
 
-    fn changed(&mut self, rows: Vec<StoreRow>) {
+    fn apply_changes(&mut self, rows: Vec<StoreRow>) {
         for row in rows {
             let now = Instant::now();
             let change = match Self::decode(&row) {
-                RowNews::Entry(entry) => self.state.fleet().upsert(entry, row.version),
-                RowNews::Removed => self.state.fleet().remove(&row.key, row.version, now),
-                RowNews::Unreadable(problem) => {
+                DecodedRow::Entry(entry) => self.state.fleet().upsert(entry, row.version),
+                DecodedRow::Removed => self.state.fleet().remove(&row.key, row.version, now),
+                DecodedRow::Unreadable(problem) => {
                     log_unreadable(StoreTable::Servers, &row, &problem);
                     self.state.fleet().record_unreadable(&row.key, row.version);
                     None
@@ -89,13 +89,12 @@
         }
     }
 
-    /// Servers renew their rows with nothing new in them but how often they
-    /// have.
+    /// Digests the decoded entry: a server's renewals change only a counter in its row.
     fn digest(&self, row: &StoreRow) -> Option<RowDigest> {
         match Self::decode(row) {
-            RowNews::Removed => None,
-            RowNews::Unreadable(_) => Some(UNREADABLE_DIGEST),
-            RowNews::Entry(entry) => {
+            DecodedRow::Removed => None,
+            DecodedRow::Unreadable(_) => Some(UNREADABLE_DIGEST),
+            DecodedRow::Entry(entry) => {
                 let mut hasher = FxHasher::default();
                 entry.hash(&mut hasher);
                 Some(hasher.finish())
@@ -103,14 +102,14 @@
         }
     }
 
-    fn regained(&mut self) {
+    fn store_available(&mut self) {
         self.state.fleet().record_store_available(Instant::now());
-        // Guards against a change made in the outage that the configuration's
-        // long wait, on a connection from before, would not show.
+        // Prevents missing a configuration change made during the outage: the configuration's long
+        // feed call, on a connection from before the outage, would not show it.
         self.state.config_due.notify(usize::MAX);
     }
 
-    fn read(&mut self) {
+    fn record_read(&mut self) {
         self.state.fleet().record_store_read(Instant::now());
     }
 }
--- a/crates/gateway/src/store/store_client.rs
+++ b/crates/gateway/src/store/store_client.rs
@@ -1,4 +1,4 @@
-//! One connection to the store.
+//! Client of the store, over one connection.
 
 use std::marker::PhantomData;
 use std::net::SocketAddr;
@@ -11,41 +11,41 @@
 use umberglade_wire::keep_alive::BufferedResponse;
 use umberglade_wire::keep_alive::KeepAliveClient;
 
-use super::FollowError;
-use super::follow_error::DecodeSnafu;
-use super::follow_error::ExchangeSnafu;
+use super::StoreError;
+use super::store_error::DecodeSnafu;
+use super::store_error::ExchangeSnafu;
 use crate::codec::PlatformCodec;
 use crate::model::RowBatch;
 use crate::model::StoreRow;
 use crate::model::StoreTable;
 use crate::model::StoreVersion;
 
-/// How long a call that the store answers at once may take: the store's
-/// usual answer takes 4 ms; a store that is merely slow (some 50 times that)
-/// is still waited for, one that answers nothing is asked again.
+/// Timeout of a call that the store responds to at once. A response usually takes 4 ms; a store
+/// that is merely slow (some 50 times that) is still waited for, one that does not respond is
+/// called again.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
-/// Beyond the wait asked for, how long a feed's answer may take.
-const FEED_MARGIN: Duration = Duration::from_millis(600);
+/// How long the response to a feed call may take beyond the requested wait.
+const FEED_EXTRA_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Speaks to the store, one call at a time.
+/// Calls the store, one call at a time.
 #[derive(Debug)]
 pub struct StoreClient<C> {
-    kept: KeepAliveClient,
+    connection: KeepAliveClient,
     codec: PhantomData<C>,
 }
 
 impl<C: PlatformCodec> StoreClient<C> {
-    /// A client of the store at `address`, not connected yet.
+    /// Creates a client of the store at `address` without connecting.
     pub fn new(address: SocketAddr) -> Self {
-        StoreClient { kept: KeepAliveClient::new(address.to_string()), codec: PhantomData }
+        StoreClient { connection: KeepAliveClient::new(address.to_string()), codec: PhantomData }
     }
 
-    /// All rows of `table`, and the version they are as of: that of the
-    /// first page, so that changes made meanwhile come with the feed.
+    /// Returns all rows of `table` and their version: that of the first page, so that changes made
+    /// during the listing come with the feed.
     pub async fn list(
         &mut self,
         table: StoreTable,
-    ) -> Result<(Vec<StoreRow>, StoreVersion), FollowError> {
+    ) -> Result<(Vec<StoreRow>, StoreVersion), StoreError> {
         let mut rows: Vec<StoreRow> = Vec::new();
         let mut version = None;
         loop {
@@ -61,71 +61,71 @@
         }
     }
 
-    /// Changes of `table` beyond `version`; waits for one up to `wait`.
+    /// Returns the changes of `table` after `version`; waits up to `wait` for the first.
     pub async fn feed(
         &mut self,
         table: StoreTable,
         version: StoreVersion,
         wait: Duration,
-    ) -> Result<RowBatch, FollowError> {
+    ) -> Result<RowBatch, StoreError> {
         let path = C::feed_path(table, version, wait.as_millis() as u64);
-        self.read("store feed", &path, wait + FEED_MARGIN).await
+        self.read("store feed", &path, wait + FEED_EXTRA_TIMEOUT).await
     }
 
-    /// Writes one row of our own.
+    /// Writes one of this gateway's own rows.
     pub async fn put(
         &mut self,
         table: StoreTable,
         key: &str,
         value: &[u8],
-    ) -> Result<(), FollowError> {
-        let (path, body) = C::put_call(table, key, value);
+    ) -> Result<(), StoreError> {
+        let (path, body) = C::put_request(table, key, value);
         metrics::counter!("umberglade_store_calls_total", "call" => "put").increment(1);
         let reply = self
-            .kept
+            .connection
             .call("store write", Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
         check_status(&reply)
     }
 
-    /// Writes one row of our own if it still has version `known`; the version
-    /// by then, or `None` when another has written it.
+    /// Writes one row if it still has `expected_version`. Returns the store's version after the
+    /// write, or `None` if another writer has changed the row.
     pub async fn claim(
         &mut self,
         table: StoreTable,
         key: &str,
         value: &[u8],
-        known: StoreVersion,
-    ) -> Result<Option<StoreVersion>, FollowError> {
-        let call = C::claim_call(table, key, value, known);
-        self.write_if("claim", "store claim", call).await
+        expected_version: StoreVersion,
+    ) -> Result<Option<StoreVersion>, StoreError> {
+        let call = C::claim_request(table, key, value, expected_version);
+        self.write_conditionally("claim", "store claim", call).await
     }
 
-    /// Removes one row of our own if it still has version `known`; false when
-    /// another has written or removed it.
+    /// Removes one row if it still has `expected_version`. Returns false if another writer has
+    /// changed or removed it.
     pub async fn remove(
         &mut self,
         table: StoreTable,
         key: &str,
-        known: StoreVersion,
-    ) -> Result<bool, FollowError> {
-        let call = C::remove_call(table, key, known);
-        let written = self.write_if("remove", "store removal", call).await?;
+        expected_version: StoreVersion,
+    ) -> Result<bool, StoreError> {
+        let call = C::remove_request(table, key, expected_version);
+        let written = self.write_conditionally("remove", "store removal", call).await?;
         Ok(written.is_some())
     }
 
-    /// Makes a write under a condition; the version by then, or `None` when the
+    /// Makes a conditional write. Returns the store's version after the write, or `None` if the
     /// condition does not hold.
-    async fn write_if(
+    async fn write_conditionally(
         &mut self,
         kind: &'static str,
         step: &'static str,
         (path, body): (String, Bytes),
-    ) -> Result<Option<StoreVersion>, FollowError> {
+    ) -> Result<Option<StoreVersion>, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => kind).increment(1);
         let reply = self
-            .kept
+            .connection
             .call(step, Method::POST, &path, body, CALL_TIMEOUT)
             .await
             .context(ExchangeSnafu)?;
@@ -136,8 +136,8 @@
         C::written_version(&reply.body).context(DecodeSnafu).map(Some)
     }
 
-    /// The rows of `table` as of one moment; for tables of a few rows.
-    pub async fn look(&mut self, table: StoreTable) -> Result<RowBatch, FollowError> {
+    /// Returns the rows of `table` at one point in time, for tables of a few rows.
+    pub async fn read_small_table(&mut self, table: StoreTable) -> Result<RowBatch, StoreError> {
         self.read("store look", &C::list_path(table, None), CALL_TIMEOUT).await
     }
 
@@ -146,17 +146,17 @@
         step: &'static str,
         path: &str,
         timeout: Duration,
-    ) -> Result<RowBatch, FollowError> {
+    ) -> Result<RowBatch, StoreError> {
         metrics::counter!("umberglade_store_calls_total", "call" => step).increment(1);
-        let reply = self.kept.get(step, path, timeout).await.context(ExchangeSnafu)?;
+        let reply = self.connection.get(step, path, timeout).await.context(ExchangeSnafu)?;
         check_status(&reply)?;
         C::row_batch(&reply.body).context(DecodeSnafu)
     }
 }
 
-fn check_status(reply: &BufferedResponse) -> Result<(), FollowError> {
+fn check_status(reply: &BufferedResponse) -> Result<(), StoreError> {
     if reply.status.is_success() {
         return Ok(());
     }
-    Err(FollowError::Status { status: reply.status })
+    Err(StoreError::Status { status: reply.status })
 }
--- /dev/null
+++ b/crates/gateway/src/store/store_error.rs
@@ -0,0 +1,30 @@
+//! Errors of calls to the store.
+
+use http::StatusCode;
+use snafu::Snafu;
+use umberglade_wire::WireError;
+
+use crate::codec::CodecError;
+
+/// Error of a call to the store.
+#[derive(Debug, Snafu)]
+#[snafu(visibility(pub(crate)))]
+pub enum StoreError {
+    /// The HTTP exchange failed; the source names the step and the peer.
+    #[snafu(display("{source}"))]
+    Exchange { source: WireError },
+    /// The store responded with an error status.
+    #[snafu(display("the store responded with status {status}"))]
+    Status { status: StatusCode },
+    /// The store's response could not be decoded.
+    #[snafu(display("{source}"))]
+    Decode { source: CodecError },
+}
+
+impl StoreError {
+    /// Returns true if the store does not keep the requested changes any more, so that the table
+    /// must be listed again.
+    pub fn is_history_expired(&self) -> bool {
+        matches!(self, StoreError::Status { status } if *status == StatusCode::GONE)
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -0,0 +1,185 @@
+//! Shares the reading of a table with the other gateways: decides when this one reads the store,
+//! and exchanges changed rows with its peers.
+
+use std::sync::Arc;
+use std::time::Duration;
+use std::time::Instant;
+
+use event_listener::EventListener;
+
+use super::SharedTable;
+use super::TableSink;
+use super::table_follower::estimated_bytes;
+use crate::cluster::ReadRole;
+use crate::cluster::ReaderRank;
+use crate::cluster::TableReaders;
+use crate::cluster::TableRowSet;
+use crate::events;
+use crate::model::RowValue;
+use crate::model::StoreRow;
+use crate::model::StoreTable;
+use crate::model::StoreVersion;
+use crate::state::GatewayState;
+
+/// Reading that takes more than this fraction of this gateway's link is left to its peers.
+const HEAVY_LINK_FRACTION: f64 = 0.1;
+/// Time after its first read for which a gateway sends no rows to its peers.
+///
+/// Prevents gateways that start together from filling their links for seconds: until each of them
+/// receives reports from the others, it acts as one of the few readers and would send
+/// each server that registers to all others.
+const SEND_DELAY: Duration = Duration::from_secs(2);
+/// Maximum time for which sending the changes of one read may occupy this gateway's link.
+const MAX_SEND_SECONDS: f64 = 0.2;
+/// Shortest interval assumed between reads when their load on the link is computed.
+const MIN_READ_INTERVAL: Duration = Duration::from_millis(500);
+
+/// The rows that a follower holds, and its exchange of rows with the peers.
+#[derive(Debug)]
+pub struct TableCoordinator {
+    state: Arc<GatewayState>,
+    table: StoreTable,
+    row_set: TableRowSet,
+    /// When this gateway first read the table.
+    first_read_at: Option<Instant>,
+    /// True while this gateway relies on its peers' reads of the table.
+    is_listener: bool,
+}
+
+impl TableCoordinator {
+    /// Creates the coordinator of `table` for the gateway with `state`.
+    pub fn new(state: Arc<GatewayState>, table: StoreTable) -> Self {
+        TableCoordinator {
+            state,
+            table,
+            row_set: TableRowSet::default(),
+            first_read_at: None,
+            is_listener: false,
+        }
+    }
+
+    /// Decides whether this gateway reads the store next, and logs changes of that role.
+    pub fn role(&mut self) -> ReadRole {
+        let now = Instant::now();
+        let rank = self.rank(now);
+        let role = self.shared_table().readers().role(rank, now);
+        let is_listener = role != ReadRole::Reader;
+        if is_listener != self.is_listener {
+            self.is_listener = is_listener;
+            self.log_role(rank, now);
+        }
+        role
+    }
+
+    fn log_role(&self, rank: ReaderRank, now: Instant) {
+        let (known_at, readers) = {
+            let table_readers = self.shared_table().readers();
+            (table_readers.known_at(), table_readers.peer_readers())
+        };
+        let age = known_at.map(|at| now.saturating_duration_since(at));
+        tracing::info!(
+            event = events::READ_ROLE_CHANGED,
+            table = %self.table,
+            outcome = if self.is_listener { "told by others" } else { "reads" },
+            readers,
+            gateways_heard = rank.peers,
+            age_ms = age.map(|age| age.as_millis() as u64),
+            "store read role changed"
+        );
+    }
+
+    /// Returns true if there are enough gateways that they read this table for each other.
+    pub fn is_shared(&self) -> bool {
+        TableReaders::is_shared(self.rank(Instant::now()))
+    }
+
+    /// Returns a listener that resolves when rows from a peer arrive.
+    pub fn rows_received(&self) -> EventListener {
+        self.shared_table().rows_received.listen()
+    }
+
+    /// Returns the rows received from peers that change what is held here.
+    pub fn take_new_peer_rows(&mut self, sink: &impl TableSink) -> Vec<StoreRow> {
+        let peer_rows = self.shared_table().take_peer_rows();
+        let rows: Vec<StoreRow> =
+            peer_rows.into_iter().filter(|row| record_row(&mut self.row_set, sink, row)).collect();
+        if !rows.is_empty() {
+            self.shared_table().readers().record_peer_rows(self.row_set.fingerprint());
+        }
+        rows
+    }
+
+    /// Records changes that the store returned, and sends those with new content to the peers.
+    pub fn record_changes(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
+        let is_update = |row: &&StoreRow| record_row(&mut self.row_set, sink, row);
+        let updates: Vec<StoreRow> = rows.iter().filter(is_update).cloned().collect();
+        self.record_read(updates);
+    }
+
+    /// Records the whole table as of `version`, and sends removed rows to the peers. Peers that
+    /// lack changed rows see this by the fingerprint, and read the store.
+    pub fn record_listing(
+        &mut self,
+        rows: &[StoreRow],
+        version: StoreVersion,
+        sink: &impl TableSink,
+    ) {
+        let listed =
+            rows.iter().filter_map(|row| Some((row.key.as_str(), row.version, sink.digest(row)?)));
+        let removed_keys = self.row_set.replace(listed, version);
+        let removed = |key| StoreRow { key, version, value: RowValue::Removed };
+        self.record_read(removed_keys.into_iter().map(removed).collect());
+    }
+
+    /// Records that each `interval` a read of `bytes` loads this gateway's link.
+    pub fn record_size(&self, bytes: usize, interval: Duration) {
+        let Some(link) = self.state.settings.link_bytes_per_s else { return };
+        let bytes_per_s =
+            bytes as f64 / interval.as_secs_f64().max(MIN_READ_INTERVAL.as_secs_f64());
+        self.shared_table().readers().set_heavy(bytes_per_s > link * HEAVY_LINK_FRACTION);
+    }
+
+    /// Returns the latest time at which the rows held here matched the store.
+    pub fn known_at(&self) -> Option<Instant> {
+        self.shared_table().readers().known_at()
+    }
+
+    /// Records that a call to the store failed.
+    pub fn record_failure(&self) {
+        self.shared_table().readers().record_failure();
+    }
+
+    fn record_read(&mut self, updates: Vec<StoreRow>) {
+        let now = Instant::now();
+        self.shared_table().record_read(self.row_set.fingerprint());
+        let since = *self.first_read_at.get_or_insert(now);
+        let may_send_yet = now.saturating_duration_since(since) >= SEND_DELAY;
+        let sends_rows = may_send_yet && self.shared_table().readers().sends_rows(now);
+        if sends_rows && !updates.is_empty() && self.may_send_rows(&updates) {
+            self.state.readings.send_rows(self.table, updates);
+        }
+    }
+
+    /// Returns true if `rows` may be sent: their table holds no API keys, and sending them to all
+    /// peers takes little of this gateway's link. The peers read larger changes from the store.
+    fn may_send_rows(&self, rows: &[StoreRow]) -> bool {
+        if self.table.holds_keys() {
+            return false;
+        }
+        let Some(link) = self.state.settings.link_bytes_per_s else { return true };
+        let sent_bytes = (estimated_bytes(rows) * self.state.members()) as f64;
+        sent_bytes <= link * MAX_SEND_SECONDS
+    }
+
+    fn shared_table(&self) -> &SharedTable {
+        self.state.readings.table(self.table)
+    }
+
+    fn rank(&self, now: Instant) -> ReaderRank {
+        self.state.fleet().peers.rank(self.state.digest, now)
+    }
+}
+
+fn record_row(row_set: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
+    row_set.record(&row.key, row.version, sink.digest(row))
+}
--- a/crates/gateway/tests/quota_pool.rs
+++ b/crates/gateway/tests/quota_pool.rs
@@ -134,7 +134,7 @@
         let since_last_report = since_last_report.max(report_interval(live_peers) + STEP);
         QuotaView {
             live_peers,
-            members: self.gateways.len(),
+            gateways: self.gateways.len(),
             report_age: report_interval(live_peers) + STEP,
             since_last_report,
             window: WINDOW,
@@ -344,7 +344,7 @@
 /// Checks that requests within the limit are not rejected, although gateways only estimate what
 /// their peers grant.
 #[test]
-fn nothing_within_the_limit_is_refused() {
+fn nothing_within_the_limit_is_rejected() {
     for gateways in [6, 63, 195] {
         let mut fleet = Fleet::new(gateways, 5, 3);
         // 0.9 of the rate, at any gateway.
--- a/crates/umberctl/src/explain.rs
+++ b/crates/umberctl/src/explain.rs
@@ -1,5 +1,5 @@
-//! `umberctl explain`: one request's story, out of log lines of any number
-//! of instances.
+//! `umberctl explain`: one request's timeline, merged from the log lines of any number of
+//! instances.
 
 use std::fmt::Write;
 use std::io::Read;
@@ -9,13 +9,13 @@
 
 use crate::commands::CommandError;
 
-/// Fields that every line has or that the story names by itself.
-const OWN_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
-/// Reads standard input in place of a file.
+/// Fields that are part of every line's header, so they are not repeated as `name=value`.
+const HEADER_FIELDS: [&str; 5] = ["timestamp", "level", "message", "event", "request_id"];
+/// File name that stands for standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// The story of `request_id` in `files`, oldest line first; what precedes a
-/// line's JSON object (an instance's name, a time) is kept as its source.
+/// Returns the timeline of `request_id` in `files`, oldest line first. Text before a line's JSON
+/// object (an instance's name, a time) is kept as the line's source.
 pub fn explain(request_id: &str, files: &[String]) -> Result<String, CommandError> {
     let mut lines = Vec::new();
     for file in files {
@@ -28,23 +28,24 @@
              lines were dropped (look for event 7006)"
         ));
     }
-    Ok(lines.iter().map(StoryLine::render).collect::<Vec<_>>().join("\n"))
+    Ok(lines.iter().map(LogRecord::render).collect::<Vec<_>>().join("\n"))
 }
 
-struct StoryLine {
+struct LogRecord {
     timestamp: String,
     source: String,
     fields: Map<String, Value>,
 }
 
-impl StoryLine {
+impl LogRecord {
     fn render(&self) -> String {
-        let text = |name| self.fields.get(name).map(plain).unwrap_or_default();
+        let text = |name| self.fields.get(name).map(unquoted).unwrap_or_default();
         let mut line = format!("{} {} {}", self.timestamp, text("event"), text("message"));
-        let others = self.fields.iter().filter(|(name, _)| !OWN_FIELDS.contains(&name.as_str()));
-        for (name, value) in others {
+        let other_fields =
+            self.fields.iter().filter(|(name, _)| !HEADER_FIELDS.contains(&name.as_str()));
+        for (name, value) in other_fields {
             // Writing to a string does not fail.
-            let _ = write!(line, " {name}={}", plain(value));
+            let _ = write!(line, " {name}={}", unquoted(value));
         }
         if !self.source.is_empty() {
             let _ = write!(line, " [{}]", self.source);
@@ -53,19 +54,19 @@
     }
 }
 
-/// A value without the quotes of JSON text.
-fn plain(value: &Value) -> String {
+/// Formats a value without the quotes of a JSON string.
+fn unquoted(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
 
-fn parse(line: &str, request_id: &str) -> Option<StoryLine> {
-    let begin = line.find('{')?;
-    let Ok(Value::Object(fields)) = serde_json::from_str(&line[begin..]) else { return None };
+fn parse(line: &str, request_id: &str) -> Option<LogRecord> {
+    let start = line.find('{')?;
+    let Ok(Value::Object(fields)) = serde_json::from_str(&line[start..]) else { return None };
     if fields.get("request_id")?.as_str()? != request_id {
         return None;
     }
-    let timestamp = fields.get("timestamp").map(plain).unwrap_or_default();
-    Some(StoryLine { timestamp, source: line[..begin].trim().to_owned(), fields })
+    let timestamp = fields.get("timestamp").map(unquoted).unwrap_or_default();
+    Some(LogRecord { timestamp, source: line[..start].trim().to_owned(), fields })
 }
 
 fn read(file: &str) -> Result<String, CommandError> {
--- a/crates/umberglade/src/setting.rs
+++ b/crates/umberglade/src/setting.rs
@@ -1,5 +1,5 @@
-//! Reading one setting from its flag, then its environment variable, then
-//! its default, with an error that names the setting.
+//! Reads one setting from its flag, its environment variable or its default, in this order. Errors
+//! name the setting.
 
 use std::fmt::Display;
 use std::ops::RangeInclusive;
@@ -17,25 +17,24 @@
     /// The listening socket could not be bound.
     #[snafu(display("binding {addr}: {source}"))]
     Bind { addr: String, source: std::io::Error },
-    /// Something the command needs could not be done.
+    /// A step that the command needs has failed.
     #[snafu(display("{message}"))]
     Failed { message: String },
 }
 
-/// The value of setting `flag`: the flag's value if given, else the
-/// environment variable `env`, else `default`; an error when none is set
-/// or the variable does not parse.
+/// Returns the value of setting `flag`: the flag's value if given, else the environment variable
+/// `env`, else `default`. Fails if none is set or the variable does not parse.
 pub fn resolve<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<T>,
+    flag_value: Option<T>,
     default: Option<T>,
 ) -> Result<T, StartError>
 where
     T: FromStr,
     T::Err: Display,
 {
-    if let Some(value) = given {
+    if let Some(value) = flag_value {
         return Ok(value);
     }
     match std::env::var(env) {
@@ -50,11 +49,11 @@
     }
 }
 
-/// Like [`resolve`] for a value that must lie in `range`.
+/// Like [`resolve`], for a value that must lie in `range`.
 pub fn resolve_within<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<T>,
+    flag_value: Option<T>,
     default: T,
     range: RangeInclusive<T>,
 ) -> Result<T, StartError>
@@ -62,7 +61,7 @@
     T: FromStr + Display + PartialOrd,
     T::Err: Display,
 {
-    let value = resolve(flag, env, given, Some(default))?;
+    let value = resolve(flag, env, flag_value, Some(default))?;
     if range.contains(&value) {
         return Ok(value);
     }
@@ -70,18 +69,18 @@
     Err(StartError::Setting { flag, env, problem })
 }
 
-/// Like [`resolve`] for a flag given as text that must parse as `T`.
+/// Like [`resolve`], for a flag given as text that must parse as `T`.
 pub fn resolve_parsed<T>(
     flag: &'static str,
     env: &'static str,
-    given: Option<String>,
+    flag_value: Option<String>,
     default: &str,
 ) -> Result<T, StartError>
 where
     T: FromStr,
     T::Err: Display,
 {
-    let text = resolve(flag, env, given, Some(default.to_owned()))?;
+    let text = resolve(flag, env, flag_value, Some(default.to_owned()))?;
     text.parse().map_err(|error: T::Err| StartError::Setting {
         flag,
         env,
--- a/crates/umberglade/tests/invariants.rs
+++ b/crates/umberglade/tests/invariants.rs
@@ -1,6 +1,6 @@
-//! The brief's "what must always hold", each made to fail on purpose:
-//! callers leaving, operators racing, the platform going down or failing
-//! over to an old copy, servers drained, a daemon stopped.
+//! Invariants of the daemon, each tested under the fault that could break it: operators who act at
+//! the same time, a platform that is unavailable or fails over to an old copy, drained servers, a
+//! stopped daemon.
 
 mod support;
 
@@ -21,13 +21,12 @@
 
 const LONG_STREAM: &str = r#"{"model":"brief-model","stream":true,"max_tokens":300,"messages":[{"role":"user","content":"long brief"}]}"#;
 
-/// Two shifts activate a preset at the same moment, both having read the
-/// same version. Exactly one wins; the other is told of the conflict and
-/// nothing of it is written.
+/// Two operators activate a preset at the same time, both having read the same version. Exactly one
+/// succeeds; the other gets a conflict error and nothing of its change is written.
 #[test]
-fn operators_racing_get_one_winner_and_one_conflict() {
+fn concurrent_activations_get_one_winner_and_one_conflict() {
     let site = Site::start(1, 1);
-    let racers: Vec<_> = ["peak", "maintenance"]
+    let activations: Vec<_> = ["peak", "maintenance"]
         .into_iter()
         .map(|preset| {
             let platform = site.platform.addr.clone();
@@ -36,7 +35,8 @@
             })
         })
         .collect();
-    let results: Vec<_> = racers.into_iter().map(|racer| racer.join().unwrap()).collect();
+    let results: Vec<_> =
+        activations.into_iter().map(|activation| activation.join().unwrap()).collect();
     let wins = results.iter().filter(|result| result.is_ok()).count();
     let conflicts = results
         .iter()
@@ -45,16 +45,16 @@
     assert_eq!((wins, conflicts), (1, 1), "{results:?}");
 }
 
-/// The table service fails over to a copy that lost the last changes: it
-/// now says "ordinary at version 1" while daemons hold "peak at version
-/// 2". A daemon must not move back to the older preset.
+/// The table service fails over to a copy that lost the last changes: it reports "ordinary at
+/// version 1" while daemons hold "peak at version 2". A daemon must not return to the older
+/// preset.
 #[test]
-fn preset_in_force_never_reverts_when_the_store_goes_back() {
+fn active_preset_never_reverts_when_the_store_loses_writes() {
     let mut site = Site::start(1, 1);
     umberglade_wire::pool::block_on(actions(&site.platform.addr).activate("peak", 1)).unwrap();
     assert!(eventually(Duration::from_secs(3), || status(&site.daemon.addr).unwrap()["fence"] == 2));
     let addr = site.platform.addr.clone();
-    site.platform.stop();
+    site.platform.kill();
     site.platform =
         Process::start(&["standin", "platform", "--listen", &addr, "--instance-lag-ms", "0"]);
     support::seed(&addr);
@@ -64,29 +64,27 @@
     assert_eq!(now["fence"], 2, "{now}");
 }
 
-/// The platform's table service goes down for a long stretch. Callers
-/// must still be served on the preset in force, and the daemon must say
-/// that its view is getting old.
+/// The platform's table service is unavailable for a long time. Callers must still be served with
+/// the active preset, and the daemon must report the growing age of its view.
 #[test]
-fn platform_outage_keeps_serving_on_the_last_preset() {
+fn daemon_serves_with_last_preset_during_platform_outage() {
     let site = Site::start(1, 1);
     set_faults(&site.platform.addr, &FaultPlan { outage: true, ..FaultPlan::default() });
     thread::sleep(Duration::from_millis(700));
-    let answer = post(
+    let response = post(
         &site.daemon.addr,
         "/v1/completions",
         "key-glenmorrow",
         r#"{"model":"brief-model","prompt":"gate code?","max_tokens":3}"#,
     );
-    assert_eq!(answer.status, 200, "{}", answer.body);
+    assert_eq!(response.status, 200, "{}", response.body);
     let now = status(&site.daemon.addr).unwrap();
     assert!(now["platform_sync_age_s"].as_f64().unwrap() > 0.4, "{now}");
     assert_eq!(now["preset"], "ordinary");
 }
 
-/// An operator drains a decode server before maintenance. Within a few
-/// follow rounds it must get no new work, although the instance list
-/// still shows it live.
+/// An operator drains a decode server before maintenance. Within a few feed rounds it must get no
+/// new work, although the instance list still shows it as live.
 #[test]
 fn drained_server_gets_no_new_work() {
     let site = Site::start(1, 2);
@@ -101,23 +99,22 @@
     }));
     let before = engine_stats(&drained.addr).decodes_done;
     for _ in 0..6 {
-        let answer = post(
+        let response = post(
             &site.daemon.addr,
             "/v1/completions",
             "key-glenmorrow",
             r#"{"model":"brief-model","prompt":"slots?","max_tokens":2}"#,
         );
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert_eq!(response.status, 200, "{}", response.body);
     }
     assert_eq!(engine_stats(&drained.addr).decodes_done, before, "a drained server got new work");
 }
 
-/// A planned stop during maintenance: SIGTERM arrives while a long answer
-/// streams. The balancer's health check fails at once, new work is refused
-/// with Retry-After, the answer in flight ends whole, then the process
-/// exits.
+/// SIGTERM arrives while a long response streams, as in a planned stop during maintenance. The load
+/// balancer's health check fails at once, new work is rejected with Retry-After, the response in
+/// flight is completed, then the process exits.
 #[test]
-fn planned_stop_cuts_no_request_in_flight() {
+fn graceful_stop_completes_requests_in_flight() {
     let mut site = Site::start(1, 1);
     let daemon = site.daemon.addr.clone();
     let streaming = thread::spawn(move || {
@@ -127,20 +124,20 @@
     site.daemon.terminate();
     thread::sleep(Duration::from_millis(100));
     let health = ureq::get(&format!("http://{}/healthz", site.daemon.addr)).call();
-    assert!(health.is_err(), "health check must fail once the stop began");
-    let refused = post(
+    assert!(health.is_err(), "health check must fail once the stop has started");
+    let rejected = post(
         &site.daemon.addr,
         "/v1/completions",
         "key-glenmorrow",
         r#"{"model":"brief-model","prompt":"x"}"#,
     );
-    assert_eq!((refused.status, refused.retry_after.is_some()), (503, true));
-    let answer = streaming.join().unwrap();
-    assert_eq!(answer.status, 200);
+    assert_eq!((rejected.status, rejected.retry_after.is_some()), (503, true));
+    let response = streaming.join().unwrap();
+    assert_eq!(response.status, 200);
     assert!(
-        answer.body.ends_with("data: [DONE]\n\n"),
+        response.body.ends_with("data: [DONE]\n\n"),
         "cut: {}",
-        &answer.body[answer.body.len().saturating_sub(200)..]
+        &response.body[response.body.len().saturating_sub(200)..]
     );
     assert!(
         eventually(Duration::from_secs(2), || site.daemon.child.try_wait().unwrap().is_some()),
@@ -148,11 +145,10 @@
     );
 }
 
-/// The table service applies an activation but the reply is lost. The
-/// operator's command must not report failure, nor write twice: it reads
-/// the row back and finds its own write.
+/// The table service applies an activation but the reply is lost. The operator's command must not
+/// report a failure or write twice: it reads the row back and finds its own write.
 #[test]
-fn lost_reply_on_activation_is_read_back_not_retried() {
+fn lost_activation_reply_is_read_back_not_retried() {
     let site = Site::start(1, 1);
     set_faults(&site.platform.addr, &FaultPlan { lose_reply_percent: 100, ..FaultPlan::default() });
     let outcome = umberglade_wire::pool::block_on(actions(&site.platform.addr).activate("peak", 1));
--- a/crates/umberglade/tests/membership.rs
+++ b/crates/umberglade/tests/membership.rs
@@ -1,5 +1,5 @@
-//! Membership between daemons: paused past a lease, a failure domain cut
-//! off, two regions split; and the duty, held by one daemon at a time.
+//! Membership of daemons (paused past a lease, a failure domain or a region partitioned) and
+//! leadership, which one daemon holds at a time.
 
 mod support;
 
@@ -12,9 +12,9 @@
 use umberglade_wire::platform::LEADER_TABLE;
 use umberglade_wire::platform::LeaderRecord;
 
-use support::Link;
 use support::Process;
 use support::Site;
+use support::TcpProxy;
 use support::actions;
 use support::eventually;
 use support::get_json;
@@ -26,64 +26,67 @@
 use support::start_platform;
 use support::status;
 
-/// Daemons of these tests beat fast: a lease lasts 600 ms.
-const FAST: [&str; 4] = ["--follow-ms", "200", "--member-beat-ms", "200"];
+/// Arguments for a short heartbeat interval, so that a lease lasts 600 ms.
+const SHORT_LEASE_ARGS: [&str; 4] = ["--follow-ms", "200", "--member-beat-ms", "200"];
 const LEASE: Duration = Duration::from_millis(600);
 
 fn is_member(daemon: &str) -> bool {
     status(daemon).is_ok_and(|now| now["member"] == true)
 }
 
-/// Daemons whose lease is live by the table service's clock.
+/// Returns the number of daemons whose lease is live by the table service's clock.
 fn live_members(platform: &str) -> usize {
     let lines = run(actions(platform).members(LEASE)).unwrap();
     lines.iter().filter(|line| line.is_live).count()
 }
 
-/// The daemon that holds the duty, by the row.
-fn duty_holder(platform: &str) -> Option<String> {
+/// Returns the daemon that the leader row names.
+fn leader(platform: &str) -> Option<String> {
     let list = run(actions(platform).platform.list(LEADER_TABLE)).unwrap();
     let row = list.rows.into_iter().next()?;
     let record: LeaderRecord = serde_json::from_value(row.value).unwrap();
     Some(record.holder)
 }
 
-/// A daemon's machine is paused past its lease. The others must see it
-/// lapse; on waking it must not believe its old lease for a moment longer
-/// than it takes to ask it, and then come back by renewing.
+/// A daemon's machine is paused past its lease. The other daemon must see the lease expire. After
+/// resuming, the paused daemon must stop relying on its old lease at its first check of it, and
+/// become a member again by renewing it.
 #[test]
-fn a_paused_daemon_lapses_and_comes_back() {
+fn paused_daemon_expires_and_rejoins() {
     let platform = start_platform("0");
     seed(&platform.addr);
-    let paused = start_daemon(&platform.addr, "entry-1", &FAST);
-    let other = start_daemon(&platform.addr, "entry-2", &FAST);
+    let paused = start_daemon(&platform.addr, "entry-1", &SHORT_LEASE_ARGS);
+    let other = start_daemon(&platform.addr, "entry-2", &SHORT_LEASE_ARGS);
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 2));
-    paused.freeze();
+    paused.pause();
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 1));
     assert!(is_member(&other.addr));
-    paused.thaw();
+    paused.resume();
     assert!(eventually(Duration::from_secs(3), || live_members(&platform.addr) == 2));
     assert!(eventually(Duration::from_secs(1), || is_member(&paused.addr)));
 }
 
-/// Where daemons are cut off from the platform.
-struct SplitCase {
+/// How many daemons are partitioned from the platform.
+struct PartitionCase {
     name: &'static str,
-    cut_daemons: usize,
-    kept_daemons: usize,
+    partitioned_daemons: usize,
+    connected_daemons: usize,
 }
 
-/// A failure domain, or a whole region, loses the platform for a while;
-/// its daemons still reach their engines. An operator activates another
-/// preset meanwhile. The cut side knows that its lease lapsed and keeps the
-/// preset it had; it serves until the other side has acted under the new
-/// one, then refuses and fails its health check. Once healed it has the new
-/// preset in force within the letter's 4 s and serves again.
+/// A failure domain or a whole region loses its connection to the platform for a while; its daemons
+/// still reach their engines. An operator activates another preset meanwhile. The partitioned side
+/// sees that its lease has expired and keeps its preset. It serves until the other side has sent
+/// work under the new preset, then rejects requests and fails its health check. Once the partition
+/// ends, the new preset must be active there within the required 4 s, and it serves again.
 #[test]
-fn daemons_cut_off_from_the_platform_serve_on_and_catch_up() {
+fn partitioned_daemons_keep_serving_and_catch_up() {
     let cases = [
-        SplitCase { name: "one failure domain of three", cut_daemons: 1, kept_daemons: 2 },
-        SplitCase { name: "one region of two", cut_daemons: 2, kept_daemons: 2 },
+        PartitionCase {
+            name: "one failure domain of three",
+            partitioned_daemons: 1,
+            connected_daemons: 2,
+        },
+        PartitionCase { name: "one region of two", partitioned_daemons: 2, connected_daemons: 2 },
     ];
     for case in &cases {
         let platform = start_platform("0");
@@ -92,86 +95,104 @@
             start_engine(&platform.addr, "p", "prefill", &[]),
             start_engine(&platform.addr, "d", "decode", &[]),
         ];
-        let link = Link::to(&platform.addr);
+        let proxy = TcpProxy::to(&platform.addr);
         let start = |addr: &str, name: &str, count: usize| -> Vec<Process> {
-            (0..count).map(|at| start_daemon(addr, &format!("{name}-{at}"), &FAST)).collect()
+            (0..count)
+                .map(|at| start_daemon(addr, &format!("{name}-{at}"), &SHORT_LEASE_ARGS))
+                .collect()
         };
-        let cut = start(&link.addr, "cut", case.cut_daemons);
-        let kept = start(&platform.addr, "kept", case.kept_daemons);
-        let all = case.cut_daemons + case.kept_daemons;
+        let partitioned = start(&proxy.addr, "cut", case.partitioned_daemons);
+        let connected = start(&platform.addr, "kept", case.connected_daemons);
+        let all = case.partitioned_daemons + case.connected_daemons;
         assert!(eventually(Duration::from_secs(4), || live_members(&platform.addr) == all));
-        for daemon in cut.iter().chain(&kept) {
+        for daemon in partitioned.iter().chain(&connected) {
             support::wait_for_servers(&daemon.addr, 2);
         }
-        link.cut();
-        let lapsed = || live_members(&platform.addr) == case.kept_daemons;
-        assert!(eventually(Duration::from_secs(4), lapsed), "{}: no lapse", case.name);
+        proxy.cut();
+        let expired = || live_members(&platform.addr) == case.connected_daemons;
+        assert!(
+            eventually(Duration::from_secs(4), expired),
+            "{}: leases did not expire",
+            case.name
+        );
         run(actions(&platform.addr).activate("peak", 1)).unwrap();
         let fence_of = |daemon: &Process| status(&daemon.addr).unwrap()["fence"].clone();
-        let on_kept = || kept.iter().all(|daemon| fence_of(daemon) == 2);
-        assert!(eventually(Duration::from_secs(4), on_kept), "{}: kept side", case.name);
-        let ask = |daemon: &Process| {
+        let on_connected = || connected.iter().all(|daemon| fence_of(daemon) == 2);
+        assert!(
+            eventually(Duration::from_secs(4), on_connected),
+            "{}: connected side has no new preset",
+            case.name
+        );
+        let send_chat = |daemon: &Process| {
             post(&daemon.addr, "/v1/chat/completions", "key-neulanjalki", &support::chat(10, 3))
         };
-        for daemon in cut.iter().chain(&kept) {
-            let answer = ask(daemon);
-            assert_eq!(answer.status, 200, "{}: {}", case.name, answer.body);
+        for daemon in partitioned.iter().chain(&connected) {
+            let response = send_chat(daemon);
+            assert_eq!(response.status, 200, "{}: {}", case.name, response.body);
         }
-        // The kept side has acted under the new preset: the engines, which
-        // check fences, hold the cut side off from now on.
-        for daemon in &cut {
-            let answer = ask(daemon);
-            assert_eq!(answer.status, 503, "{}: {}", case.name, answer.body);
-            assert!(answer.retry_after.is_some());
+        // The connected side has sent work under the new preset, so the engines, which check
+        // fences, reject work of the partitioned side from now on.
+        for daemon in &partitioned {
+            let response = send_chat(daemon);
+            assert_eq!(response.status, 503, "{}: {}", case.name, response.body);
+            assert!(response.retry_after.is_some());
             let health = ureq::get(&format!("http://{}/healthz", daemon.addr)).call();
-            assert!(health.is_err(), "{}: the balancer still sends callers", case.name);
+            assert!(health.is_err(), "{}: health check must fail", case.name);
         }
-        for daemon in &cut {
-            assert_eq!(fence_of(daemon), 1, "{}: how did it hear?", case.name);
-            assert!(!is_member(&daemon.addr), "{}: believes a lapsed lease", case.name);
+        for daemon in &partitioned {
+            assert_eq!(
+                fence_of(daemon),
+                1,
+                "{}: a partitioned daemon got the new preset",
+                case.name
+            );
+            assert!(!is_member(&daemon.addr), "{}: relies on an expired lease", case.name);
         }
-        link.heal();
-        let caught_up = || cut.iter().all(|daemon| fence_of(daemon) == 2);
-        assert!(eventually(Duration::from_secs(4), caught_up), "{}: not in force", case.name);
+        proxy.restore();
+        let caught_up = || partitioned.iter().all(|daemon| fence_of(daemon) == 2);
+        assert!(
+            eventually(Duration::from_secs(4), caught_up),
+            "{}: new preset not active in time",
+            case.name
+        );
         assert!(eventually(Duration::from_secs(4), || live_members(&platform.addr) == all));
-        for daemon in &cut {
-            assert_eq!(ask(daemon).status, 200, "{}: healed", case.name);
+        for daemon in &partitioned {
+            assert_eq!(send_chat(daemon).status, 200, "{}: after the partition", case.name);
         }
     }
 }
 
-/// The daemon that holds the duty is paused; another takes it and has a
-/// server changed by order. The paused one wakes believing it still holds
-/// the duty. This server ignores fencing numbers, so nothing but the
-/// daemon itself and the order count guards it: exactly the one order must
-/// have been taken, and the server must stay what it was ordered to be.
+/// The leader is paused; another daemon becomes leader and orders a server to change its role. The
+/// paused daemon resumes with the stale state that it is the leader. The server ignores fencing
+/// tokens, so only the daemon itself and the order's sequence number protect it: exactly one order
+/// must have been accepted, and the server must keep the role of that order.
 #[test]
-fn a_paused_holder_of_the_duty_gives_no_order_on_waking() {
+fn paused_leader_sends_no_order_after_resuming() {
     let platform = start_platform("0");
     seed(&platform.addr);
     let engine = start_engine(&platform.addr, "server", "prefill", &["--checks-fence", "false"]);
     let daemons = [
-        start_daemon(&platform.addr, "entry-1", &FAST),
-        start_daemon(&platform.addr, "entry-2", &FAST),
+        start_daemon(&platform.addr, "entry-1", &SHORT_LEASE_ARGS),
+        start_daemon(&platform.addr, "entry-2", &SHORT_LEASE_ARGS),
     ];
-    assert!(eventually(Duration::from_secs(4), || duty_holder(&platform.addr).is_some()));
-    let first = duty_holder(&platform.addr).unwrap();
+    assert!(eventually(Duration::from_secs(4), || leader(&platform.addr).is_some()));
+    let first = leader(&platform.addr).unwrap();
     let paused = &daemons[usize::from(first == "entry-2")];
-    paused.freeze();
-    let taken = || duty_holder(&platform.addr).is_some_and(|holder| holder != first);
-    assert!(eventually(Duration::from_secs(5), taken), "nobody took the duty");
+    paused.pause();
+    let taken = || leader(&platform.addr).is_some_and(|holder| holder != first);
+    assert!(eventually(Duration::from_secs(5), taken), "no daemon took over leadership");
     run(actions(&platform.addr).set_role_order("server", EngineRole::Decode)).unwrap();
     let report = || get_json::<EngineReport>(&engine.addr, "/v1/report");
     let is_decode = || report().role == EngineRole::Decode && !report().busy;
     assert!(eventually(Duration::from_secs(5), is_decode), "{:?}", report());
-    paused.thaw();
+    paused.resume();
     std::thread::sleep(LEASE * 3);
-    assert_eq!(report().sequence, 1, "another order was taken: {:?}", report());
+    assert_eq!(report().sequence, 1, "another order was accepted: {:?}", report());
     assert_eq!(report().role, EngineRole::Decode);
-    assert_ne!(duty_holder(&platform.addr).unwrap(), first, "the duty went back by itself");
+    assert_ne!(leader(&platform.addr).unwrap(), first, "leadership went back to the paused daemon");
 }
 
-/// One order that comes when a newer holder's has been taken.
+/// An order that arrives after a newer leader's order was accepted.
 struct StaleOrderCase {
     name: &'static str,
     checks_fence: &'static str,
@@ -179,20 +200,20 @@
     expected_sequence: u64,
 }
 
-/// An old holder's order reaches a server after a newer holder's: engines
-/// that check fencing numbers refuse it for its number, engines that
-/// ignore them for its order count. Neither carries it out.
+/// A former leader's order reaches a server after a newer leader's. Engines that check fencing
+/// tokens reject it for its token, engines that ignore them for its sequence number. Neither
+/// executes it.
 #[test]
-fn an_order_of_an_old_holder_is_refused() {
+fn order_of_a_former_leader_is_rejected() {
     let cases = [
         StaleOrderCase {
-            name: "checks, old fence",
+            name: "checks fences, old fence",
             checks_fence: "true",
             fence: 4,
             expected_sequence: 1,
         },
         StaleOrderCase {
-            name: "ignores, old count",
+            name: "ignores fences, old sequence",
             checks_fence: "false",
             fence: 4,
             expected_sequence: 0,
@@ -211,10 +232,10 @@
         let report = || get_json::<EngineReport>(engine, "/v1/report");
         assert!(eventually(Duration::from_secs(3), || !report().busy));
         let stale = order(case.fence, case.expected_sequence, EngineRole::Prefill);
-        let refused = ureq::post(&format!("http://{engine}/v1/order"))
+        let rejected = ureq::post(&format!("http://{engine}/v1/order"))
             .send(serde_json::to_string(&stale).unwrap())
-            .expect_err("an old holder's order must be refused");
-        assert!(matches!(refused, ureq::Error::StatusCode(409)), "{}: {refused}", case.name);
+            .expect_err("a former leader's order must be rejected");
+        assert!(matches!(rejected, ureq::Error::StatusCode(409)), "{}: {rejected}", case.name);
         assert_eq!(report().role, EngineRole::Decode, "{}", case.name);
     }
 }
