--- a/crates/gateway/src/config_state.rs
+++ b/crates/gateway/src/config_state.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this process: access to it, its replacement, and whether it is the
+//! The configuration in force at this process: reads it, replaces it, and checks whether it is the
 //! newest.
 
 use std::collections::HashSet;
@@ -50,10 +50,10 @@
             peer,
             "peer has a newer configuration; reading the store"
         );
-        self.config_due.notify(usize::MAX);
+        self.config_read_requested.notify(usize::MAX);
     }
 
-    /// Runs `change` on the record of newer configurations.
+    /// Runs `change` on the record of whether the configuration in force is the newest.
     pub fn with_config_watch<T>(&self, change: impl FnOnce(&mut ConfigWatch) -> T) -> T {
         change(&mut self.config_watch.lock().expect("config watch lock"))
     }
@@ -69,7 +69,7 @@
     /// Requests an immediate read of the configuration, unless one was requested very recently.
     pub fn request_config_read(&self) {
         if self.with_config_watch(|watch| watch.try_request_read(Instant::now())) {
-            self.config_due.notify(usize::MAX);
+            self.config_read_requested.notify(usize::MAX);
         }
     }
 
@@ -81,8 +81,8 @@
         source.filter(|(_, version)| *version > local_version)
     }
 
-    /// Applies `table`, which `source` holds at row version `row_version`. Returns true if it is
-    /// now in force.
+    /// Puts `table` in force if it is newer than the configuration in force, and returns whether it
+    /// was. `row_version` is the version of its store row; `source` is logged.
     pub fn apply_config(
         &self,
         row_version: StoreVersion,
--- a/crates/gateway/src/store/table_coordinator.rs
+++ b/crates/gateway/src/store/table_coordinator.rs
@@ -21,7 +21,7 @@
 use crate::model::StoreVersion;
 use crate::state::GatewayState;
 
-/// Reading that takes more than this fraction of this gateway's link is left to its peers.
+/// A table whose reading takes more than this fraction of this gateway's link is left to its peers.
 const HEAVY_LINK_FRACTION: f64 = 0.1;
 /// Time after its first read for which a gateway sends no rows to its peers.
 ///
@@ -43,7 +43,7 @@
     /// When this gateway first read the table.
     first_read_at: Option<Instant>,
     /// True while this gateway relies on its peers' reads of the table.
-    is_listener: bool,
+    is_receiver: bool,
 }
 
 impl TableCoordinator {
@@ -54,7 +54,7 @@
             table,
             row_set: TableRowSet::default(),
             first_read_at: None,
-            is_listener: false,
+            is_receiver: false,
         }
     }
 
@@ -63,9 +63,9 @@
         let now = Instant::now();
         let rank = self.rank(now);
         let role = self.shared_table().readers().role(rank, now);
-        let is_listener = role != ReadRole::Reader;
-        if is_listener != self.is_listener {
-            self.is_listener = is_listener;
+        let is_receiver = role != ReadRole::Reader;
+        if is_receiver != self.is_receiver {
+            self.is_receiver = is_receiver;
             self.log_role(rank, now);
         }
         role
@@ -80,7 +80,7 @@
         tracing::info!(
             event = events::READ_ROLE_CHANGED,
             table = %self.table,
-            outcome = if self.is_listener { "told by others" } else { "reads" },
+            outcome = if self.is_receiver { "told by others" } else { "reads" },
             readers,
             gateways_heard = rank.peers,
             age_ms = age.map(|age| age.as_millis() as u64),
@@ -109,15 +109,15 @@
         rows
     }
 
-    /// Records changes that the store returned, and sends those with new content to the peers.
+    /// Records changes that the store returned, and sends peers the rows whose content is new.
     pub fn record_changes(&mut self, rows: &[StoreRow], sink: &impl TableSink) {
         let is_update = |row: &&StoreRow| record_row(&mut self.row_set, sink, row);
         let updates: Vec<StoreRow> = rows.iter().filter(is_update).cloned().collect();
         self.record_read(updates);
     }
 
-    /// Records the whole table as of `version`, and sends removed rows to the peers. Peers that
-    /// lack changed rows see this by the fingerprint, and read the store.
+    /// Records the full table as of `version`, and sends removed rows to the peers. Peers that lack
+    /// changed rows detect this by the fingerprint, and read the store.
     pub fn record_listing(
         &mut self,
         rows: &[StoreRow],
@@ -131,7 +131,7 @@
         self.record_read(removed_keys.into_iter().map(removed).collect());
     }
 
-    /// Records that each `interval` a read of `bytes` loads this gateway's link.
+    /// Records that this gateway's link is loaded by a read of `bytes` in each `interval`.
     pub fn record_size(&self, bytes: usize, interval: Duration) {
         let Some(link) = self.state.settings.link_bytes_per_s else { return };
         let bytes_per_s =
@@ -156,7 +156,7 @@
         let may_send_yet = now.saturating_duration_since(since) >= SEND_DELAY;
         let sends_rows = may_send_yet && self.shared_table().readers().sends_rows(now);
         if sends_rows && !updates.is_empty() && self.may_send_rows(&updates) {
-            self.state.readings.send_rows(self.table, updates);
+            self.state.shared_tables.send_rows(self.table, updates);
         }
     }
 
@@ -172,7 +172,7 @@
     }
 
     fn shared_table(&self) -> &SharedTable {
-        self.state.readings.table(self.table)
+        self.state.shared_tables.table(self.table)
     }
 
     fn rank(&self, now: Instant) -> ReaderRank {
@@ -180,6 +180,7 @@
     }
 }
 
+/// Records `row` in `row_set`. Returns true if its content is new.
 fn record_row(row_set: &mut TableRowSet, sink: &impl TableSink, row: &StoreRow) -> bool {
     row_set.record(&row.key, row.version, sink.digest(row))
 }
--- a/crates/wire/src/error.rs
+++ b/crates/wire/src/error.rs
@@ -5,7 +5,7 @@
 /// The failure of an HTTP exchange with another process.
 ///
 /// Every variant holds the `step` (the operation that was in progress) and the `peer` (the
-/// address of the other process), so that a log line tells where the error occurred.
+/// address of the other process), so that a log line shows where the error occurred.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub))]
 pub enum WireError {
@@ -49,7 +49,7 @@
 
     /// Returns true when no usable response arrived (for example a lost reply), so the action
     /// may or may not have taken effect.
-    pub fn is_unanswered(&self) -> bool {
+    pub fn is_outcome_unknown(&self) -> bool {
         matches!(
             self,
             WireError::Http { .. } | WireError::Timeout { .. } | WireError::Decode { .. }
